--- a/cmd/caperarch/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Caperarch is a sidecar: it takes the requests of the application beside it and carries each to an
-// upstream, as the decision module says.
+// Sidecar takes the requests of the application beside it and carries each to an upstream server, as the
+// decisions in package policy say.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"arrowgw/internal/sidecar"
+	"cranehatch/internal/sidecar"
 )
 
 func main() {
@@ -30,7 +30,7 @@
 		err = sidecar.Run(ctx, cfg, reload)
 	}
 	if err != nil {
-		slog.Error("caperarch ends", "error", err)
+		slog.Error("the sidecar cannot go on", "error", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/caperarch/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestMain lets the test program stand in for caperarch itself.
+// TestMain lets the test program stand in for the sidecar itself.
 func TestMain(m *testing.M) {
 	if os.Getenv("CAPERARCH_ITSELF") != "" {
 		main()
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// program is caperarch with a configuration, not started yet.
+// program is the sidecar with a configuration, not started yet.
 func program(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Simhost plays the decision module on the simulator's wire: it hosts many
+// Simadapter plays the decision module on the simulator's wire: it hosts many
 // instances, each a policy.Balancer of its own, on standard input and output.
 // It decides nothing itself.
 package main
@@ -13,9 +13,9 @@
 	"runtime/debug"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/internal/wire"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -32,7 +32,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := newHost()
-	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
+	r := simprotocol.NewReader(bufio.NewReaderSize(in, 1<<16))
 	for {
 		b, err := r.ReadBatch()
 		if errors.Is(err, io.EOF) {
@@ -54,7 +54,7 @@
 // host holds the instances of this process and what they share: the numbered
 // lists of the wire and the reply under way.
 type host struct {
-	reply     wire.Reply
+	reply     simprotocol.Reply
 	pages     map[uint16][]policy.Server
 	instances map[uint32]*instance
 }
@@ -67,7 +67,7 @@
 type instance struct {
 	host   *host
 	number uint32
-	loads  wire.Columns
+	loads  simprotocol.Columns
 	b      *policy.Balancer
 	logAt  time.Duration // when the counters are written next
 }
@@ -76,7 +76,7 @@
 const logEvery = 10 * time.Second
 
 func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
-	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
+	i.host.reply.CallOut(i.number, uint32(id), simprotocol.Upstream(to), timeout)
 }
 
 func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
@@ -89,18 +89,22 @@
 	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-func (i *instance) Wake(d time.Duration)     { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to policy.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
-func (i *instance) Close(to policy.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
-func (i *instance) Tell(n policy.News)       { i.host.reply.Post(i.number, gossip.Encode(n)) }
-func (i *instance) WatchList()               { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)          { i.host.reply.WriteLog(i.number, line) }
+func (i *instance) Wake(d time.Duration) { i.host.reply.SetAlarm(i.number, d, 0) }
+func (i *instance) Probe(to policy.ServerID) {
+	i.host.reply.Inspect(i.number, simprotocol.Upstream(to))
+}
+func (i *instance) Close(to policy.ServerID) {
+	i.host.reply.Release(i.number, simprotocol.Upstream(to))
+}
+func (i *instance) Tell(n policy.News) { i.host.reply.Post(i.number, gossip.Encode(n)) }
+func (i *instance) WatchList()         { i.host.reply.Tail(i.number, true) }
+func (i *instance) Log(line string)    { i.host.reply.WriteLog(i.number, line) }
 
 // batch hands the events of one batch to their instances, in order.
-func (h *host) batch(b wire.Batch) error {
+func (h *host) batch(b simprotocol.Batch) error {
 	body := b.Body
 	for range b.Records {
-		rec, rest, err := wire.Next(body)
+		rec, rest, err := simprotocol.Next(body)
 		if err != nil {
 			return err
 		}
@@ -115,17 +119,17 @@
 	return nil
 }
 
-func (h *host) record(now time.Duration, rec wire.Record) error {
+func (h *host) record(now time.Duration, rec simprotocol.Record) error {
 	switch rec.Code {
-	case wire.EvManifest:
+	case simprotocol.EvManifest:
 		page, entries, err := rec.Manifest()
 		if err != nil {
 			return err
 		}
 		h.pages[page] = servers(entries)
 		return nil
-	case wire.EvOpenInstance, wire.EvCrashNow, wire.EvFleet, wire.EvAsk, wire.EvFinished, wire.EvWake,
-		wire.EvClientLeft, wire.EvHeaders, wire.EvCheckResult, wire.EvHeard:
+	case simprotocol.EvOpenInstance, simprotocol.EvCrashNow, simprotocol.EvFleet, simprotocol.EvAsk, simprotocol.EvFinished, simprotocol.EvWake,
+		simprotocol.EvClientLeft, simprotocol.EvHeaders, simprotocol.EvCheckResult, simprotocol.EvHeard:
 	default:
 		return nil // a code of a later version, or one that the module has no use for
 	}
@@ -134,9 +138,9 @@
 		return err
 	}
 	switch rec.Code {
-	case wire.EvOpenInstance:
+	case simprotocol.EvOpenInstance:
 		return h.open(now, number, rec)
-	case wire.EvCrashNow:
+	case simprotocol.EvCrashNow:
 		delete(h.instances, number)
 		return nil
 	}
@@ -148,12 +152,12 @@
 }
 
 // open starts an instance anew.
-func (h *host) open(now time.Duration, number uint32, rec wire.Record) error {
+func (h *host) open(now time.Duration, number uint32, rec simprotocol.Record) error {
 	seed, info, err := rec.OpenInstance()
 	if err != nil {
 		return err
 	}
-	s, err := wire.ParseSettings(info)
+	s, err := simprotocol.ParseSettings(info)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
@@ -186,7 +190,7 @@
 }
 
 // event hands one event to the instance's Balancer.
-func (i *instance) event(now time.Duration, rec wire.Record) error {
+func (i *instance) event(now time.Duration, rec simprotocol.Record) error {
 	if now >= i.logAt {
 		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
 			i.Log(fmt.Sprintf("counters %+v", i.b.Counters()))
@@ -196,21 +200,21 @@
 	return i.guard(func() error { return i.dispatch(now, rec) })
 }
 
-func (i *instance) dispatch(now time.Duration, rec wire.Record) error {
+func (i *instance) dispatch(now time.Duration, rec simprotocol.Record) error {
 	switch rec.Code {
-	case wire.EvAsk:
+	case simprotocol.EvAsk:
 		a, err := rec.Ask()
 		if err != nil {
 			return err
 		}
 		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
 		r.Key = a.Key
-		r.Repeat = a.Bits&wire.BitRepeat != 0
-		if a.Bits&wire.BitHint != 0 {
+		r.Repeat = a.Bits&simprotocol.BitRepeat != 0
+		if a.Bits&simprotocol.BitHint != 0 {
 			r.Work = a.Hint
 		}
 		i.b.Request(now, r)
-	case wire.EvFinished:
+	case simprotocol.EvFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
@@ -219,27 +223,27 @@
 			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
 			Load: i.loads.Load(f.Pressure),
 		})
-	case wire.EvWake:
+	case simprotocol.EvWake:
 		i.b.Wake(now)
-	case wire.EvClientLeft:
+	case simprotocol.EvClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.ClientGone(now, policy.RequestID(job))
-	case wire.EvHeaders:
+	case simprotocol.EvHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
 		i.b.StreamBegun(policy.RequestID(job))
-	case wire.EvCheckResult:
+	case simprotocol.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == wire.EndServed, i.loads.Load(report))
-	case wire.EvHeard:
+		i.b.Probed(now, policy.ServerID(up), end == simprotocol.EndServed, i.loads.Load(report))
+	case simprotocol.EvHeard:
 		by, data, err := rec.Heard()
 		if err != nil {
 			return err
@@ -247,7 +251,7 @@
 		if n, err := gossip.Decode(data); err == nil { // anything else is dropped
 			i.b.Heard(now, int(by), n)
 		}
-	case wire.EvFleet:
+	case simprotocol.EvFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
 			return err
@@ -260,13 +264,13 @@
 func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
 	var k policy.ListKind
 	switch kind {
-	case wire.FleetFull:
+	case simprotocol.FleetFull:
 		k = policy.ListFull
-	case wire.FleetDelta:
+	case simprotocol.FleetDelta:
 		k = policy.ListDelta
-	case wire.FleetCached:
+	case simprotocol.FleetCached:
 		k = policy.ListCached
-	case wire.FleetFailed:
+	case simprotocol.FleetFailed:
 		i.b.List(now, policy.ListFailed, nil)
 		return nil
 	default:
@@ -282,34 +286,34 @@
 
 func ending(code uint16) policy.Ending {
 	switch code {
-	case wire.EndServed:
+	case simprotocol.EndServed:
 		return policy.Served
-	case wire.EndTurnedAway:
+	case simprotocol.EndTurnedAway:
 		return policy.TurnedAway
-	case wire.EndTimedOut:
+	case simprotocol.EndTimedOut:
 		return policy.TimedOut
-	case wire.EndNoConnection:
+	case simprotocol.EndNoConnection:
 		return policy.NoConnection
-	case wire.EndBroken:
+	case simprotocol.EndBroken:
 		return policy.Broken
-	case wire.EndCancelled:
+	case simprotocol.EndCancelled:
 		return policy.Cancelled
-	case wire.EndNotSent:
+	case simprotocol.EndNotSent:
 		return policy.NotSent
 	}
 	return policy.Errored // it may have run, as may whatever is not known
 }
 
-func servers(entries []wire.Entry) []policy.Server {
+func servers(entries []simprotocol.Entry) []policy.Server {
 	list := make([]policy.Server, len(entries))
 	for i, e := range entries {
 		list[i] = policy.Server{
 			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
 		}
 		switch e.Status {
-		case wire.StateReady:
+		case simprotocol.StateReady:
 			list[i].State = policy.Ready
-		case wire.StateGone:
+		case simprotocol.StateGone:
 			list[i].State = policy.Gone
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
--- a/cmd/simhost/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/internal/wire"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
 )
 
 const settings = `balancers=2
@@ -44,24 +44,24 @@
 }
 
 func open(inst uint32, seed uint64) []byte {
-	return record(wire.EvOpenInstance, inst, seed, uint32(len(settings)), settings)
+	return record(simprotocol.EvOpenInstance, inst, seed, uint32(len(settings)), settings)
 }
 
 func manifest(page uint16, addrs ...byte) []byte {
 	fields := []any{page, uint32(len(addrs))}
 	for _, a := range addrs {
-		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(wire.StateReady),
+		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(simprotocol.StateReady),
 			float32(1), float64(0))
 	}
-	return record(wire.EvManifest, fields...)
+	return record(simprotocol.EvManifest, fields...)
 }
 
 func fleet(inst uint32, kind uint8, page uint16) []byte {
-	return record(wire.EvFleet, inst, kind, uint32(1), page)
+	return record(simprotocol.EvFleet, inst, kind, uint32(1), page)
 }
 
 func ask(inst, job uint32) []byte {
-	return record(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
+	return record(simprotocol.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
 }
 
 func batch(number uint32, clock float64, records ...[]byte) []byte {
@@ -93,7 +93,7 @@
 		body := b[12 : 12+size]
 		b = b[12+size:]
 		for len(body) > 0 {
-			rec, rest, err := wire.Next(body)
+			rec, rest, err := simprotocol.Next(body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -119,19 +119,19 @@
 // Settings, list and keys reach the module: a drained server's connections are closed, and a key goes in turn.
 func TestFurtherRulesReachTheModule(t *testing.T) {
 	info := settings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
-	inst := record(wire.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
+	inst := record(simprotocol.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
 	drained := manifest(4, 77)
-	drained[6+2+4+6+1+1+2] = wire.StateDraining
+	drained[6+2+4+6+1+1+2] = simprotocol.StateDraining
 	keyed := func(job uint32) []byte {
-		return record(wire.EvAsk, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
+		return record(simprotocol.EvAsk, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
 	}
 	all := actions(t, slices.Concat(
-		batch(1, 0, inst, manifest(3, 77, 78), fleet(1, wire.FleetCached, 3), keyed(100), keyed(101)),
-		batch(2, 5, drained, fleet(1, wire.FleetDelta, 4))))
-	if sends := only(all, wire.ActCallOut, 1); len(sends) != 1 {
+		batch(1, 0, inst, manifest(3, 77, 78), fleet(1, simprotocol.FleetCached, 3), keyed(100), keyed(101)),
+		batch(2, 5, drained, fleet(1, simprotocol.FleetDelta, 4))))
+	if sends := only(all, simprotocol.ActCallOut, 1); len(sends) != 1 {
 		t.Errorf("%d sends for two requests of one key, want 1", len(sends))
 	}
-	if closed := only(all, wire.ActRelease, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
+	if closed := only(all, simprotocol.ActRelease, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
 		t.Errorf("closed %v, want .77", closed)
 	}
 }
@@ -146,7 +146,7 @@
 		"rules.cold_from=2\n":                                 "ColdFrom",
 	} {
 		info := settings + setting
-		err := serve(bytes.NewReader(batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(5),
+		err := serve(bytes.NewReader(batch(1, 0, record(simprotocol.EvOpenInstance, uint32(1), uint64(5),
 			uint32(len(info)), info))), io.Discard)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want one line that names %s", setting, err, field)
@@ -156,14 +156,14 @@
 
 func TestPageIsResolvedInEventOrder(t *testing.T) {
 	all := actions(t, batch(1, 0,
-		open(1, 5), manifest(3, 77), fleet(1, wire.FleetCached, 3), ask(1, 100),
-		open(2, 6), manifest(3, 88), fleet(2, wire.FleetCached, 3), ask(2, 200)))
+		open(1, 5), manifest(3, 77), fleet(1, simprotocol.FleetCached, 3), ask(1, 100),
+		open(2, 6), manifest(3, 88), fleet(2, simprotocol.FleetCached, 3), ask(2, 200)))
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, wire.ActCallOut, inst)
+		sends := only(all, simprotocol.ActCallOut, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
 			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
 		}
-		if len(only(all, wire.ActTail, inst)) != 1 {
+		if len(only(all, simprotocol.ActTail, inst)) != 1 {
 			t.Errorf("instance %d did not ask for its list", inst)
 		}
 	}
@@ -171,12 +171,12 @@
 
 func TestRestartInOneBatch(t *testing.T) {
 	all := actions(t, slices.Concat(
-		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, wire.FleetCached, 0), ask(1, 100)),
-		batch(2, 5, record(wire.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, wire.FleetCached, 0), ask(1, 102)),
-		batch(3, 10, record(wire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
+		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, simprotocol.FleetCached, 0), ask(1, 100)),
+		batch(2, 5, record(simprotocol.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, simprotocol.FleetCached, 0), ask(1, 102)),
+		batch(3, 10, record(simprotocol.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(simprotocol.EndServed),
 			float64(5), uint8(1), uint8(0))),
-		batch(4, 15, record(wire.EvCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, wire.ActCallOut, 1)
+		batch(4, 15, record(simprotocol.EvCrashNow, uint32(1)), ask(1, 103))))
+	sends := only(all, simprotocol.ActCallOut, 1)
 	if len(sends) != 2 {
 		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
 	}
@@ -189,11 +189,11 @@
 			var recs [][]byte
 			for _, i := range insts {
 				if n == 0 {
-					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, wire.FleetFull, uint16(i)))
+					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, simprotocol.FleetFull, uint16(i)))
 				}
-				recs = append(recs, ask(i, 1000*i+n), record(wire.EvWake, i, uint64(0)))
+				recs = append(recs, ask(i, 1000*i+n), record(simprotocol.EvWake, i, uint64(0)))
 				if n > 4 {
-					recs = append(recs, record(wire.EvClientLeft, i, 1000*i+n-4))
+					recs = append(recs, record(simprotocol.EvClientLeft, i, 1000*i+n-4))
 				}
 			}
 			in = append(in, batch(n, float64(10*n), recs...)...)
@@ -214,24 +214,24 @@
 func TestNewsPassesBetweenInstances(t *testing.T) {
 	told := strings.ReplaceAll(settings, "balancers=1", "balancers=2") + "\ncaps.peers=true"
 	boot := func(i uint32) []byte {
-		return record(wire.EvOpenInstance, i, uint64(5), uint32(len(told)+5), told+"\nme="+string(rune('0'+i)))
+		return record(simprotocol.EvOpenInstance, i, uint64(5), uint32(len(told)+5), told+"\nme="+string(rune('0'+i)))
 	}
-	in := batch(1, 0, boot(0), boot(1), manifest(0, 7, 8), fleet(0, wire.FleetCached, 0), ask(0, 100))
+	in := batch(1, 0, boot(0), boot(1), manifest(0, 7, 8), fleet(0, simprotocol.FleetCached, 0), ask(0, 100))
 	n := uint32(2)
 	for ; n < 60; n++ {
-		in = append(in, batch(n, float64(100*n), record(wire.EvWake, uint32(0), uint64(0)))...)
+		in = append(in, batch(n, float64(100*n), record(simprotocol.EvWake, uint32(0), uint64(0)))...)
 	}
-	posts := only(actions(t, in), wire.ActPost, 0)
+	posts := only(actions(t, in), simprotocol.ActPost, 0)
 	if len(posts) == 0 {
 		t.Fatal("nothing was told")
 	}
 	news := gossip.Encode(policy.News{At: 6 * time.Second, Rate: 5})
 	hear := func(data []byte) []byte {
-		return record(wire.EvHeard, uint32(1), uint32(0), uint16(len(data)), data)
+		return record(simprotocol.EvHeard, uint32(1), uint32(0), uint16(len(data)), data)
 	}
 	in = append(in, batch(n, 6000, hear(news), hear(news), hear([]byte("no news")))...)
 	h := newHost()
-	r := wire.NewReader(bytes.NewReader(in))
+	r := simprotocol.NewReader(bytes.NewReader(in))
 	for {
 		b, err := r.ReadBatch()
 		if err != nil {
@@ -248,9 +248,9 @@
 }
 
 func TestUnknownRecordsArePassedOver(t *testing.T) {
-	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(wire.EvHeard, uint32(1), uint32(2), uint16(0)),
-		manifest(0, 7), fleet(1, 99, 0), fleet(1, wire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, wire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(simprotocol.EvHeard, uint32(1), uint32(2), uint16(0)),
+		manifest(0, 7), fleet(1, 99, 0), fleet(1, simprotocol.FleetCached, 0), ask(1, 100), ask(44, 100)))
+	if len(only(all, simprotocol.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
 		t.Fatalf("actions %v", all)
 	}
 }
@@ -258,10 +258,10 @@
 func TestMalformedInputEndsWithAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"cut off":               batch(1, 0, open(1, 5))[:30],
-		"list never sent":       batch(1, 0, open(1, 5), fleet(1, wire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(wire.EvAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
+		"list never sent":       batch(1, 0, open(1, 5), fleet(1, simprotocol.FleetFull, 9)),
+		"record shorter":        batch(1, 0, open(1, 5), record(simprotocol.EvAsk, uint32(1), uint32(3))),
+		"unusable settings":     batch(1, 0, record(simprotocol.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
+		"settings without sign": batch(1, 0, record(simprotocol.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
 		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := serve(bytes.NewReader(in), io.Discard)
@@ -278,17 +278,17 @@
 	if err := i.guard(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
-	rec, _, err := wire.Next(h.reply.Bytes()[12:])
-	if err != nil || rec.Code != wire.ActDie || !strings.Contains(string(rec.Fields), "index out of range") {
+	rec, _, err := simprotocol.Next(h.reply.Bytes()[12:])
+	if err != nil || rec.Code != simprotocol.ActDie || !strings.Contains(string(rec.Fields), "index out of range") {
 		t.Fatalf("record %+v, error %v", rec, err)
 	}
 }
 
 func TestEndings(t *testing.T) {
 	for code, want := range map[uint16]policy.Ending{
-		wire.EndServed: policy.Served, wire.EndErrored: policy.Errored, wire.EndTurnedAway: policy.TurnedAway,
-		wire.EndTimedOut: policy.TimedOut, wire.EndNoConnection: policy.NoConnection, wire.EndBroken: policy.Broken,
-		wire.EndCancelled: policy.Cancelled, wire.EndNotSent: policy.NotSent, 999: policy.Errored,
+		simprotocol.EndServed: policy.Served, simprotocol.EndErrored: policy.Errored, simprotocol.EndTurnedAway: policy.TurnedAway,
+		simprotocol.EndTimedOut: policy.TimedOut, simprotocol.EndNoConnection: policy.NoConnection, simprotocol.EndBroken: policy.Broken,
+		simprotocol.EndCancelled: policy.Cancelled, simprotocol.EndNotSent: policy.NotSent, 999: policy.Errored,
 	} {
 		if got := ending(code); got != want {
 			t.Errorf("ending %d becomes %v, want %v", code, got, want)
@@ -297,9 +297,9 @@
 }
 
 func TestServers(t *testing.T) {
-	got := servers([]wire.Entry{
-		{Upstream: 9, Area: 1, Cohort: 3, Status: wire.StateReady, Rating: 2.5, Boot: time.Second},
-		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
+	got := servers([]simprotocol.Entry{
+		{Upstream: 9, Area: 1, Cohort: 3, Status: simprotocol.StateReady, Rating: 2.5, Boot: time.Second},
+		{Status: simprotocol.StateGone}, {Status: simprotocol.StateDraining}, {Status: 77},
 	})
 	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
 		got[1].State != policy.Gone || got[2].State != policy.Draining || got[3].State != policy.Draining {
--- a/cmd/simhost/settings_test.go
+++ b/cmd/simadapter/settings_test.go
@@ -11,13 +11,13 @@
 	"strings"
 	"testing"
 
-	"arrowgw/internal/wire"
+	"cranehatch/internal/simprotocol"
 )
 
 // bootInfo is a file of settings as the simulator gives them: one path=value a line.
 func bootInfo(t *testing.T, file string) string {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "wire", "testdata", file))
+	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "simprotocol", "testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,33 +57,33 @@
 		patience float64
 	}
 	wants := map[string][]want{
-		"piste.json": {{0, 3, wire.ActPushBack, 10000}, {1, 3, wire.ActPushBack, 20000}, {2, 1, wire.ActLose, 30000}, {3, 0, wire.ActPushBack, 0}},
-		"desk.json":  {{0, 1, wire.ActLose, 15000}, {1, 1, wire.ActLose, 12000}, {2, 2, wire.ActLose, 11000}, {3, 2, wire.ActPushBack, 13000}},
+		"piste.json": {{0, 3, simprotocol.ActPushBack, 10000}, {1, 3, simprotocol.ActPushBack, 20000}, {2, 1, simprotocol.ActLose, 30000}, {3, 0, simprotocol.ActPushBack, 0}},
+		"desk.json":  {{0, 1, simprotocol.ActLose, 15000}, {1, 1, simprotocol.ActLose, 12000}, {2, 2, simprotocol.ActLose, 11000}, {3, 2, simprotocol.ActPushBack, 13000}},
 	}
 	for class := range 4 { // one at a time: admission learns from failures
 		var first [][]byte
 		for i, file := range files {
 			info := bootInfo(t, file)
 			first = append(first,
-				record(wire.EvOpenInstance, uint32(i), uint64(5), uint32(len(info)), info),
-				manifest(uint16(i), 1, 2, 3, 4), fleet(uint32(i), wire.FleetFull, uint16(i)),
-				record(wire.EvAsk, uint32(i), uint32(100), uint16(0), uint64(0), uint32(1), float64(40000), float64(0), uint8(class)),
+				record(simprotocol.EvOpenInstance, uint32(i), uint64(5), uint32(len(info)), info),
+				manifest(uint16(i), 1, 2, 3, 4), fleet(uint32(i), simprotocol.FleetFull, uint16(i)),
+				record(simprotocol.EvAsk, uint32(i), uint32(100), uint16(0), uint64(0), uint32(1), float64(40000), float64(0), uint8(class)),
 				// tenants there are two and three
-				record(wire.EvAsk, uint32(i), uint32(101), uint16(0), uint64(0), uint32(3), float64(40000), float64(0), uint8(0)))
+				record(simprotocol.EvAsk, uint32(i), uint32(101), uint16(0), uint64(0), uint32(3), float64(40000), float64(0), uint8(0)))
 		}
 		batches := [][]byte{batch(1, 0, first...)}
 		for hop := range 4 { // outcomes of attempts that were not made are passed over
 			var ends [][]byte
 			for i := range files {
-				ends = append(ends, record(wire.EvFinished, uint32(i), uint32(100), uint8(hop), []byte{10, 0, 0, 1, 80, 0},
-					uint16(wire.EndErrored), float64(5), uint8(0), uint8(0)))
+				ends = append(ends, record(simprotocol.EvFinished, uint32(i), uint32(100), uint8(hop), []byte{10, 0, 0, 1, 80, 0},
+					uint16(simprotocol.EndErrored), float64(5), uint8(0), uint8(0)))
 			}
 			batches = append(batches, batch(uint32(hop+2), float64(5*(hop+1)), ends...))
 		}
 		all := actions(t, slices.Concat(batches...))
 		for i, file := range files {
 			w := wants[file][class]
-			sends := only(all, wire.ActCallOut, uint32(i))
+			sends := only(all, simprotocol.ActCallOut, uint32(i))
 			if len(sends) != w.sends {
 				t.Errorf("%s, class %d: %d sends, want %d", file, class, len(sends), w.sends)
 			}
@@ -91,7 +91,7 @@
 			if !slices.ContainsFunc(ends, func(a action) bool { return a.rest[0] == 100 }) {
 				t.Errorf("%s, class %d: %v does not end it", file, class, w.end)
 			}
-			if refused := only(all, wire.ActPushBack, uint32(i)); !slices.ContainsFunc(refused, func(a action) bool { return a.rest[0] == 101 }) {
+			if refused := only(all, simprotocol.ActPushBack, uint32(i)); !slices.ContainsFunc(refused, func(a action) bool { return a.rest[0] == 101 }) {
 				t.Errorf("%s: a tenant that there is none of was not refused", file)
 			}
 			if len(sends) > 0 && patience(t, sends[0]) > w.patience {
--- a/internal/listing/listing.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,5 +1,5 @@
-// Package listing is the form in which discovery tells of the servers of a service, and how it is read.
-package listing
+// Package endpointlist is the form in which discovery tells of the servers of a service, and how it is read.
+package endpointlist
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"net"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // List is one answer of discovery. The zero value holds no server.
--- a/internal/listing/listing_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -1,10 +1,10 @@
-package listing
+package endpointlist
 
 import (
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/fleet/clock.go
+++ b/internal/fleetsim/clock.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import "time"
 
--- a/internal/fleet/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // Discovery sets what the model discovery can bear. It works on calls in turn.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -1,11 +1,11 @@
-package fleet
+package fleetsim
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // The same seed brings the same play, whether processor time is taken or not; another seed another one.
--- a/internal/fleet/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"arrowgw/internal/listing"
-	"arrowgw/policy"
+	"cranehatch/internal/endpointlist"
+	"cranehatch/policy"
 )
 
 // The numbers that stand for the calls in a golden digest. They never change; a new call gets a new number.
@@ -116,7 +116,7 @@
 	t.Helper()
 	hash := fnv.New64a()
 	g := &goldenRecord{f: f, hash: hash, sum: hash.Sum64, adopted: make([]*policy.Balancer, len(f.sidecars))}
-	list, err := listing.Parse(f.discovery.say(-1).body, f.zones)
+	list, err := endpointlist.Parse(f.discovery.say(-1).body, f.zones)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleetsim/helpers_test.go
@@ -1,11 +1,11 @@
-package fleet
+package fleetsim
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 const ms = time.Millisecond
--- a/internal/fleet/rules.go
+++ b/internal/fleetsim/rules.go
@@ -1,10 +1,10 @@
-package fleet
+package fleetsim
 
 import (
 	"fmt"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // Rule is one that no sidecar may ever break, whatever fails around it.
--- a/internal/fleet/server.go
+++ b/internal/fleetsim/server.go
@@ -1,11 +1,11 @@
-package fleet
+package fleetsim
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // Server sets what a model map server can do. It serves in turn, as many at once as it has cores; one that has
--- a/internal/fleet/service.go
+++ b/internal/fleetsim/service.go
@@ -1,10 +1,10 @@
-// Package fleet plays a service of many sidecars in one process, to count what they do together that none does
+// Package fleetsim plays a service of many sidecars in one process, to count what they do together that none does
 // alone. Each is hollow: a real policy.Balancer that tells in gossip's form and reads lists as listing does,
 // among model servers, a model discovery of bounded capacity and a model network, on one fake clock. The same
 // seed brings the same play: every draw is from it, nothing goes by a real clock, and no order is left to chance.
 //
 // A Service is single-threaded. Services have nothing to do with one another, so Play runs several at once.
-package fleet
+package fleetsim
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 	"slices"
 	"time"
 
-	"arrowgw/internal/listing"
-	"arrowgw/policy"
+	"cranehatch/internal/endpointlist"
+	"cranehatch/policy"
 )
 
 // Config says what to play.
@@ -107,7 +107,7 @@
 	}
 	for i := range cfg.Servers {
 		m := &server{f: f, name: fmt.Sprintf("s-%05d", i), zone: (cfg.Offset + i) % cfg.Zones}
-		m.id = listing.ServerID(m.name)
+		m.id = endpointlist.ServerID(m.name)
 		if cfg.ID != nil {
 			m.id = cfg.ID(i)
 		}
@@ -118,7 +118,7 @@
 	if cfg.Discovery != nil {
 		d.cfg, f.discovery = *cfg.Discovery, d
 	}
-	list, err := listing.Parse(d.say(-1).body, f.zones)
+	list, err := endpointlist.Parse(d.say(-1).body, f.zones)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: the first list: %w", err)
 	}
--- a/internal/fleet/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/internal/listing"
-	"arrowgw/policy"
+	"cranehatch/internal/endpointlist"
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
 )
 
 // What the sidecar's own reader of discovery does, with the same times.
@@ -67,7 +67,7 @@
 
 // start gives the sidecar a new Balancer, and what it knows of the list, if anything. The Balancer's own draws go
 // by its number and its life, the seed's are those of the world around it.
-func (s *sidecar) start(known *listing.List) error {
+func (s *sidecar) start(known *endpointlist.List) error {
 	f := s.f
 	cfg := f.cfg.Policy
 	cfg.Balancers, cfg.Index, cfg.Zone = len(f.sidecars), s.index, s.zone
@@ -445,7 +445,7 @@
 	f := s.f
 	f.count.Lists.In.add(onWire(listHead + len(a.body)))
 	from := s.measured()
-	l, err := listing.Parse(a.body, f.zones)
+	l, err := endpointlist.Parse(a.body, f.zones)
 	s.control(from)
 	switch {
 	case failure != "":
@@ -473,7 +473,7 @@
 }
 
 // written notes which servers the sidecar has now been told of that leave.
-func (s *sidecar) written(l *listing.List, kind policy.ListKind) {
+func (s *sidecar) written(l *endpointlist.List, kind policy.ListKind) {
 	named := make(map[policy.ServerID]bool)
 	for _, e := range l.Servers {
 		named[e.ID] = true
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // Most is the longest datagram that may pass between sidecars.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 func TestNewsComesThrough(t *testing.T) {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"arrowgw/internal/wire"
-	"arrowgw/policy"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
 )
 
 // Config is what a sidecar is told at its start.
@@ -38,7 +38,7 @@
 	Tenants map[string]int // tenant by name; empty where there are none
 	Zones   map[string]int // zone by name
 	Reports []string       // names of a load report's fields, in the order of Columns
-	Columns wire.Columns
+	Columns simprotocol.Columns
 
 	MostOpen    int           // requests held at once
 	ConnIdle    time.Duration // an upstream closes connections that stood idle so long
@@ -111,7 +111,7 @@
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("config: settings are missing")
 	}
-	s, err := wire.SettingsFromJSON(file.Settings)
+	s, err := simprotocol.SettingsFromJSON(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -156,7 +156,7 @@
 }
 
 // take reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) take(s *wire.Settings) error {
+func (c *Config) take(s *simprotocol.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
 		return fmt.Errorf("config: %w", err)
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 func TestConfig(t *testing.T) {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	hosts "arrowgw/internal/listing"
-	"arrowgw/policy"
+	hosts "cranehatch/internal/endpointlist"
+	"cranehatch/policy"
 )
 
 const (
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -16,7 +16,7 @@
 	"testing/synctest"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // The whole list, then a watch from its version on; a malformed answer or a failure is passed
--- a/internal/sidecar/endings_test.go
+++ b/internal/sidecar/endings_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // entrance serves clients on loopback for a loop whose goroutine is the test itself.
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 const (
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
 )
 
 const (
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // idleLoop is a loop whose goroutine is the test itself, with one server in its list.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -9,8 +9,8 @@
 	"net/netip"
 	"sync/atomic"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
 )
 
 // peers sends datagrams to the other sidecars and takes theirs. Nothing waits for it: a datagram that
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
 )
 
 // socket is a UDP socket of a test's own on loopback.
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"arrowgw/internal/wire"
-	"arrowgw/policy"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
 )
 
 // deployment is what a sidecar must do under the settings of one file.
@@ -42,7 +42,7 @@
 // under replaces the settings of a test by those of a file.
 func under(t *testing.T, file string) func(file, settings map[string]any) {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("..", "wire", "testdata", file))
+	raw, err := os.ReadFile(filepath.Join("..", "simprotocol", "testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,11 +122,11 @@
 func TestLimitsAreOfTheFileInUse(t *testing.T) {
 	for _, d := range []deployment{deployments[0], deployments[1], deployments[0]} {
 		cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), under(t, d.file))
-		raw, err := os.ReadFile(filepath.Join("..", "wire", "testdata", d.file))
+		raw, err := os.ReadFile(filepath.Join("..", "simprotocol", "testdata", d.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := wire.SettingsFromJSON(raw)
+		s, err := simprotocol.SettingsFromJSON(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	hosts "arrowgw/internal/listing"
-	"arrowgw/policy"
+	hosts "cranehatch/internal/endpointlist"
+	"cranehatch/policy"
 )
 
 // generous bounds every wait: tests wait for events, and only a broken program waits this long.
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // outage is a discovery that cannot be reached for a while, on the fake clock. It returns at the worst moment, just
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"arrowgw/internal/wire"
-	"arrowgw/policy"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
 )
 
 const (
@@ -60,7 +60,7 @@
 	settle      time.Duration // connections rest so long after an answer
 	most        int           // connections at most
 	reports     []string
-	columns     wire.Columns
+	columns     simprotocol.Columns
 	probePath   string
 
 	mu      sync.Mutex
@@ -542,7 +542,7 @@
 	if !ok {
 		return policy.Load{}
 	}
-	values := wire.Report{N: min(len(u.reports), len(wire.Report{}.Values))}
+	values := simprotocol.Report{N: min(len(u.reports), len(simprotocol.Report{}.Values))}
 	for i := range values.N {
 		values.Values[i] = float32(math.NaN()) // absent
 	}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 func testUpstream(t *testing.T) *upstream {
--- a/internal/overhead/process.go
+++ b/internal/sidecarbench/process.go
@@ -1,4 +1,4 @@
-package overhead
+package sidecarbench
 
 import (
 	"bufio"
--- a/internal/overhead/overhead.go
+++ b/internal/sidecarbench/sidecarbench.go
@@ -1,4 +1,4 @@
-// Package overhead measures what a sidecar costs, on real processes over loopback: what it adds to a call, in time and
+// Package sidecarbench measures what a sidecar costs, on real processes over loopback: what it adds to a call, in time and
 // in processor time, and what it takes with no traffic, by how much of a fleet it is told.
 //
 // The program runs as it is deployed. Beside it run stand-ins for all that it talks to, each a process of its own:
@@ -8,7 +8,7 @@
 // What is compared is measured in turns, in short blocks close to one another (direct and through the sidecar, silent
 // and told), so that what else the machine does meets both alike. A figure is the mean of the differences of such
 // pairs, with their spread.
-package overhead
+package sidecarbench
 
 import (
 	"context"
--- a/internal/overhead/overhead_test.go
+++ b/internal/sidecarbench/sidecarbench_test.go
@@ -1,4 +1,4 @@
-package overhead
+package sidecarbench
 
 import (
 	"context"
@@ -52,8 +52,8 @@
 	if build == nil {
 		t.Fatal("deploy/balancer.toml builds in another way than this test knows")
 	}
-	path := filepath.Join(t.TempDir(), "caperarch")
-	cmd := exec.Command("bash", "-c", string(build[1])+` "$0" ./cmd/caperarch`, path)
+	path := filepath.Join(t.TempDir(), "sidecar")
+	cmd := exec.Command("bash", "-c", string(build[1])+` "$0" ./cmd/sidecar`, path)
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v\n%s", cmd, err, out)
--- a/internal/overhead/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -1,4 +1,4 @@
-package overhead
+package sidecarbench
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowgw/internal/gossip"
-	"arrowgw/policy"
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
 )
 
 // RoleVariable is the environment variable that names the part which a process plays, for Play.
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // Settings are the start-up settings of an instance, by path.
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary protocol: frames, records,
+// Package simprotocol speaks the simulator's binary protocol: frames, records,
 // server lists and the settings that come with each instance.
-package wire
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 func unhex(t testing.TB, s string) []byte {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"arrowgw/policy"
+	"cranehatch/policy"
 )
 
 // sidecar is the program that embeds the module: it carries out its decisions.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -4,23 +4,23 @@
 	"testing"
 	"time"
 
-	"arrowgw/internal/fleet"
-	"arrowgw/policy"
+	"cranehatch/internal/fleetsim"
+	"cranehatch/policy"
 )
 
 const ms = time.Millisecond
 
 // fleetConfig is like the settings of the days at size: sidecars of very different traffic, rate requests a second
 // together, and servers of one core in two zones, where calls take no time and a list never changes.
-func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleet.Config {
+func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleetsim.Config {
 	class := func(worth float64, e policy.Effect) policy.Class {
 		return policy.Class{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: worth, Effect: e, Window: 6 * time.Second}
 	}
-	return fleet.Config{
+	return fleetsim.Config{
 		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, Rate: rate, Mix: []float64{0.63, 0.37},
 		ID:      func(i int) policy.ServerID { return policy.ServerID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
-		Server:  fleet.Server{Cores: 1, Work: 27 * ms, Room: 5, Choke: 500 * ms, Rest: 800 * ms},
-		Network: fleet.Network{DatagramLeast: 3 * ms, DatagramSpread: 20 * ms, DatagramLoss: 0.05},
+		Server:  fleetsim.Server{Cores: 1, Work: 27 * ms, Room: 5, Choke: 500 * ms, Rest: 800 * ms},
+		Network: fleetsim.Network{DatagramLeast: 3 * ms, DatagramSpread: 20 * ms, DatagramLoss: 0.05},
 		Policy: policy.Config{
 			Classes:     []policy.Class{class(1, policy.Safe), class(8, policy.Keyed)},
 			Tenants:     []policy.Tenant{{Share: 0.42, Quota: 764}, {Share: 0.33, Quota: 600}, {Share: 0.25, Quota: 455}},
@@ -31,9 +31,9 @@
 }
 
 // play plays a service for warm and then for d, counts anew in that, and finds no rule broken.
-func play(t *testing.T, cfg fleet.Config, warm, d time.Duration) *fleet.Service {
+func play(t *testing.T, cfg fleetsim.Config, warm, d time.Duration) *fleetsim.Service {
 	t.Helper()
-	f, err := fleet.New(cfg)
+	f, err := fleetsim.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
