--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -55,12 +55,12 @@
 // lists of the wire and the reply under way.
 type host struct {
 	reply     simprotocol.Reply
-	pages     map[uint16][]policy.Server
+	pages     map[uint16][]policy.Endpoint
 	instances map[uint32]*instance
 }
 
 func newHost() *host {
-	return &host{pages: make(map[uint16][]policy.Server), instances: make(map[uint32]*instance)}
+	return &host{pages: make(map[uint16][]policy.Endpoint), instances: make(map[uint32]*instance)}
 }
 
 // instance is one sidecar; it carries out its Balancer's decisions.
@@ -75,11 +75,11 @@
 // logEvery is how often an instance's counters go to the log.
 const logEvery = 10 * time.Second
 
-func (i *instance) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+func (i *instance) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	i.host.reply.CallOut(i.number, uint32(id), simprotocol.Upstream(to), timeout)
 }
 
-func (i *instance) Refuse(id policy.RequestID, pause time.Duration) {
+func (i *instance) Reject(id policy.RequestID, pause time.Duration) {
 	i.host.reply.PushBack(i.number, uint32(id), pause)
 }
 
@@ -89,16 +89,16 @@
 	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-func (i *instance) Wake(d time.Duration) { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to policy.ServerID) {
+func (i *instance) SetTimer(d time.Duration) { i.host.reply.SetAlarm(i.number, d, 0) }
+func (i *instance) HealthCheck(to policy.EndpointID) {
 	i.host.reply.Inspect(i.number, simprotocol.Upstream(to))
 }
-func (i *instance) Close(to policy.ServerID) {
+func (i *instance) CloseIdle(to policy.EndpointID) {
 	i.host.reply.Release(i.number, simprotocol.Upstream(to))
 }
-func (i *instance) Tell(n policy.News) { i.host.reply.Post(i.number, gossip.Encode(n)) }
-func (i *instance) WatchList()         { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)    { i.host.reply.WriteLog(i.number, line) }
+func (i *instance) Broadcast(n policy.GossipMessage) { i.host.reply.Post(i.number, gossip.Encode(n)) }
+func (i *instance) WatchEndpoints()                  { i.host.reply.Tail(i.number, true) }
+func (i *instance) Log(line string)                  { i.host.reply.WriteLog(i.number, line) }
 
 // batch hands the events of one batch to their instances, in order.
 func (h *host) batch(b simprotocol.Batch) error {
@@ -207,11 +207,11 @@
 		if err != nil {
 			return err
 		}
-		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
+		r := policy.Request{ID: policy.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Timeout: a.Left}
 		r.Key = a.Key
-		r.Repeat = a.Bits&simprotocol.BitRepeat != 0
+		r.ClientRetry = a.Bits&simprotocol.BitRepeat != 0
 		if a.Bits&simprotocol.BitHint != 0 {
-			r.Work = a.Hint
+			r.ExpectedWork = a.Hint
 		}
 		i.b.Request(now, r)
 	case simprotocol.EvFinished:
@@ -220,36 +220,36 @@
 			return err
 		}
 		i.b.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
-			Load: i.loads.Load(f.Pressure),
+			RequestID: policy.RequestID(f.Job), Attempt: int(f.Hop), Result: ending(f.Ending), Answered: f.Settled,
+			Report: i.loads.Load(f.Pressure),
 		})
 	case simprotocol.EvWake:
-		i.b.Wake(now)
+		i.b.TimerFired(now)
 	case simprotocol.EvClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.ClientGone(now, policy.RequestID(job))
+		i.b.ClientDisconnected(now, policy.RequestID(job))
 	case simprotocol.EvHeaders:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(policy.RequestID(job))
+		i.b.StreamStarted(policy.RequestID(job))
 	case simprotocol.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, policy.ServerID(up), end == simprotocol.EndServed, i.loads.Load(report))
+		i.b.HealthChecked(now, policy.EndpointID(up), end == simprotocol.EndServed, i.loads.Load(report))
 	case simprotocol.EvHeard:
 		by, data, err := rec.Heard()
 		if err != nil {
 			return err
 		}
 		if n, err := gossip.Decode(data); err == nil { // anything else is dropped
-			i.b.Heard(now, int(by), n)
+			i.b.ReceiveGossip(now, int(by), n)
 		}
 	case simprotocol.EvFleet:
 		kind, _, page, err := rec.Fleet()
@@ -262,16 +262,16 @@
 }
 
 func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
-	var k policy.ListKind
+	var k policy.UpdateKind
 	switch kind {
 	case simprotocol.FleetFull:
-		k = policy.ListFull
+		k = policy.FullUpdate
 	case simprotocol.FleetDelta:
-		k = policy.ListDelta
+		k = policy.DeltaUpdate
 	case simprotocol.FleetCached:
-		k = policy.ListCached
+		k = policy.CachedUpdate
 	case simprotocol.FleetFailed:
-		i.b.List(now, policy.ListFailed, nil)
+		i.b.UpdateEndpoints(now, policy.UpdateFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
@@ -280,41 +280,41 @@
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.b.UpdateEndpoints(now, k, list)
 	return nil
 }
 
-func ending(code uint16) policy.Ending {
+func ending(code uint16) policy.Result {
 	switch code {
 	case simprotocol.EndServed:
-		return policy.Served
+		return policy.Succeeded
 	case simprotocol.EndTurnedAway:
-		return policy.TurnedAway
+		return policy.Rejected
 	case simprotocol.EndTimedOut:
 		return policy.TimedOut
 	case simprotocol.EndNoConnection:
-		return policy.NoConnection
+		return policy.ConnectFailed
 	case simprotocol.EndBroken:
-		return policy.Broken
+		return policy.ConnectionLost
 	case simprotocol.EndCancelled:
 		return policy.Cancelled
 	case simprotocol.EndNotSent:
 		return policy.NotSent
 	}
-	return policy.Errored // it may have run, as may whatever is not known
+	return policy.ServerError // it may have run, as may whatever is not known
 }
 
-func servers(entries []simprotocol.Entry) []policy.Server {
-	list := make([]policy.Server, len(entries))
+func servers(entries []simprotocol.Entry) []policy.Endpoint {
+	list := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = policy.Server{
-			ID: policy.ServerID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, Started: e.Boot,
+		list[i] = policy.Endpoint{
+			ID: policy.EndpointID(e.Upstream), Zone: int(e.Area), Cell: int(e.Cohort), Weight: e.Rating, StartedAt: e.Boot,
 		}
 		switch e.Status {
 		case simprotocol.StateReady:
 			list[i].State = policy.Ready
 		case simprotocol.StateGone:
-			list[i].State = policy.Gone
+			list[i].State = policy.Removed
 		default:
 			list[i].State = policy.Draining // nothing new, whatever it is
 		}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -225,7 +225,7 @@
 	if len(posts) == 0 {
 		t.Fatal("nothing was told")
 	}
-	news := gossip.Encode(policy.News{At: 6 * time.Second, Rate: 5})
+	news := gossip.Encode(policy.GossipMessage{SentAt: 6 * time.Second, RequestRate: 5})
 	hear := func(data []byte) []byte {
 		return record(simprotocol.EvHeard, uint32(1), uint32(0), uint16(len(data)), data)
 	}
@@ -242,8 +242,8 @@
 			t.Fatal(err)
 		}
 	}
-	if c := h.instances[1].b.Counters(); c.Heard != 1 || c.Unheard != 1 {
-		t.Fatalf("heard %d and dropped %d, want one of each: the second is the same again", c.Heard, c.Unheard)
+	if c := h.instances[1].b.Counters(); c.GossipReceived != 1 || c.GossipDropped != 1 {
+		t.Fatalf("heard %d and dropped %d, want one of each: the second is the same again", c.GossipReceived, c.GossipDropped)
 	}
 }
 
@@ -285,10 +285,10 @@
 }
 
 func TestEndings(t *testing.T) {
-	for code, want := range map[uint16]policy.Ending{
-		simprotocol.EndServed: policy.Served, simprotocol.EndErrored: policy.Errored, simprotocol.EndTurnedAway: policy.TurnedAway,
-		simprotocol.EndTimedOut: policy.TimedOut, simprotocol.EndNoConnection: policy.NoConnection, simprotocol.EndBroken: policy.Broken,
-		simprotocol.EndCancelled: policy.Cancelled, simprotocol.EndNotSent: policy.NotSent, 999: policy.Errored,
+	for code, want := range map[uint16]policy.Result{
+		simprotocol.EndServed: policy.Succeeded, simprotocol.EndErrored: policy.ServerError, simprotocol.EndTurnedAway: policy.Rejected,
+		simprotocol.EndTimedOut: policy.TimedOut, simprotocol.EndNoConnection: policy.ConnectFailed, simprotocol.EndBroken: policy.ConnectionLost,
+		simprotocol.EndCancelled: policy.Cancelled, simprotocol.EndNotSent: policy.NotSent, 999: policy.ServerError,
 	} {
 		if got := ending(code); got != want {
 			t.Errorf("ending %d becomes %v, want %v", code, got, want)
@@ -301,8 +301,8 @@
 		{Upstream: 9, Area: 1, Cohort: 3, Status: simprotocol.StateReady, Rating: 2.5, Boot: time.Second},
 		{Status: simprotocol.StateGone}, {Status: simprotocol.StateDraining}, {Status: 77},
 	})
-	if got[0] != (policy.Server{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, Started: time.Second}) ||
-		got[1].State != policy.Gone || got[2].State != policy.Draining || got[3].State != policy.Draining {
+	if got[0] != (policy.Endpoint{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, StartedAt: time.Second}) ||
+		got[1].State != policy.Removed || got[2].State != policy.Draining || got[3].State != policy.Draining {
 		t.Fatalf("servers %+v", got)
 	}
 }
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -16,11 +16,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []policy.Server{
-		{ID: ServerID("s-1"), Zone: 1, Cell: 3, State: policy.Ready, Weight: 1.5, Started: 1500500 * time.Microsecond},
+	want := []policy.Endpoint{
+		{ID: ServerID("s-1"), Zone: 1, Cell: 3, State: policy.Ready, Weight: 1.5, StartedAt: 1500500 * time.Microsecond},
 		{ID: ServerID("s-2"), Zone: -1, State: policy.Draining},
 		{ID: ServerID("s-3"), Zone: -1, State: policy.Draining},
-		{ID: ServerID("s-4"), Zone: -1, State: policy.Gone},
+		{ID: ServerID("s-4"), Zone: -1, State: policy.Removed},
 	}
 	if l.Version != 41 || l.Whole || len(l.Servers) != len(want) || l.Address[want[1].ID] != "127.0.0.1:81" {
 		t.Fatalf("list %+v", l)
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -27,7 +27,7 @@
 	cfg     Discovery
 	down    bool
 	lines   []string // of the servers' entries
-	ready   []policy.State
+	ready   []policy.EndpointState
 	log     []int // servers by the version that changed them: version v is log[v-1]
 	turns   []*call
 	working bool
@@ -64,7 +64,7 @@
 
 // write renews a server's line.
 func (d *discovery) write(m *server, i int) {
-	lifecycle := map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}[d.ready[i]]
+	lifecycle := map[policy.EndpointState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}[d.ready[i]]
 	d.lines[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":%.3f}`,
 		m.name, m.zone, i/250, 1+i%250, zoneName(m.zone), i%4, lifecycle, float64(m.started.Microseconds())/1000)
@@ -76,7 +76,7 @@
 func (d *discovery) version() int64 { return int64(len(d.log)) }
 
 // change enters that a server's state has changed, and opens the watches.
-func (d *discovery) change(i int, state policy.State) {
+func (d *discovery) change(i int, state policy.EndpointState) {
 	m := d.f.servers[i]
 	d.ready[i] = state
 	d.log = append(d.log, i)
@@ -104,7 +104,7 @@
 	whole := index < 0 || index > d.version()
 	if whole {
 		for i := range d.lines {
-			if d.ready[i] != policy.Gone { // the whole list leaves out those that have left
+			if d.ready[i] != policy.Removed { // the whole list leaves out those that have left
 				named = append(named, i)
 			}
 		}
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -153,7 +153,7 @@
 // no more than a request at a time.
 func TestColdServersAreSpared(t *testing.T) {
 	cfg := testConfig(0, 300, 2)
-	cfg.Servers, cfg.Policy.ColdFrom, cfg.Policy.ColdMultiple = 12, 0.1, 1.2
+	cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 12, 0.1, 1.2
 	f := begin(t, cfg)
 	f.Run(2 * time.Second)
 	for k := range 6 {
@@ -227,7 +227,7 @@
 	one(RunsOnce, "refused after it ran", func(f *Service, s *sidecar) {
 		r := hold(s, unsafeClass)
 		f.ran(&attempt{owner: r})
-		s.Refuse(r.id, 0)
+		s.Reject(r.id, 0)
 	})
 	one(Drained, "sent 1 s after it was written", func(f *Service, s *sidecar) {
 		s.leaving[f.servers[1].id] = f.clock.now - time.Second - 1
@@ -340,8 +340,8 @@
 		"no core":        func(c *Config) { c.Server.Cores = 0 },
 		"another mix":    func(c *Config) { c.Mix = nil },
 		"more regions":   func(c *Config) { c.Regions = c.Zones + 1 },
-		"named by two":   func(c *Config) { c.ID = func(int) policy.ServerID { return 0 } },
-		"no aim":         func(c *Config) { c.Policy.Classes[0].Aim = 0 },
+		"named by two":   func(c *Config) { c.ID = func(int) policy.EndpointID { return 0 } },
+		"no aim":         func(c *Config) { c.Policy.Classes[0].LatencyObjective = 0 },
 		"before a first": func(c *Config) { c.Offset = -1 },
 	} {
 		cfg := testConfig(0, 6, 1)
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -32,7 +32,7 @@
 	sum     func() uint64
 	calls   [goldenCalls]int // by their number
 	adopted []*policy.Balancer
-	first   []policy.Server // the list that sidecars are given at first
+	first   []policy.Endpoint // the list that sidecars are given at first
 }
 
 // goldenHost stands between a Balancer and its sidecar.
@@ -54,15 +54,15 @@
 	return !h.replays
 }
 
-func (h *goldenHost) Send(id policy.RequestID, to policy.ServerID, timeout, within time.Duration) {
+func (h *goldenHost) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
 	if h.note(goldenSend, uint64(id), uint64(to), int64(timeout), int64(within)) {
 		h.s.Send(id, to, timeout, within)
 	}
 }
 
-func (h *goldenHost) Refuse(id policy.RequestID, pause time.Duration) {
+func (h *goldenHost) Reject(id policy.RequestID, pause time.Duration) {
 	if h.note(goldenRefuse, uint64(id), int64(pause)) {
-		h.s.Refuse(id, pause)
+		h.s.Reject(id, pause)
 	}
 }
 
@@ -78,33 +78,33 @@
 	}
 }
 
-func (h *goldenHost) Wake(d time.Duration) {
+func (h *goldenHost) SetTimer(d time.Duration) {
 	if h.note(goldenWake, int64(d)) {
-		h.s.Wake(d)
+		h.s.SetTimer(d)
 	}
 }
 
-func (h *goldenHost) Close(to policy.ServerID) {
+func (h *goldenHost) CloseIdle(to policy.EndpointID) {
 	if h.note(goldenClose, uint64(to)) {
-		h.s.Close(to)
+		h.s.CloseIdle(to)
 	}
 }
 
-func (h *goldenHost) Probe(to policy.ServerID) {
+func (h *goldenHost) HealthCheck(to policy.EndpointID) {
 	if h.note(goldenProbe, uint64(to)) {
-		h.s.Probe(to)
+		h.s.HealthCheck(to)
 	}
 }
 
-func (h *goldenHost) WatchList() {
+func (h *goldenHost) WatchEndpoints() {
 	if h.note(goldenWatchList) {
-		h.s.WatchList()
+		h.s.WatchEndpoints()
 	}
 }
 
-func (h *goldenHost) Tell(n policy.News) {
-	if h.note(goldenTell, int64(n.At), n.Rate, n.Answers, n.Crowd) {
-		h.s.Tell(n)
+func (h *goldenHost) Broadcast(n policy.GossipMessage) {
+	if h.note(goldenTell, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion) {
+		h.s.Broadcast(n)
 	}
 }
 
@@ -145,7 +145,7 @@
 		}
 		b.Start(f.clock.now)
 		if g.first != nil {
-			b.List(f.clock.now, policy.ListCached, g.first)
+			b.UpdateEndpoints(f.clock.now, policy.CachedUpdate, g.first)
 		}
 		host.replays = false
 		s.b, g.adopted[i] = b, b
@@ -184,7 +184,7 @@
 			}
 		}
 		if oldest != nil && s.answer(oldest) {
-			s.b.ClientGone(f.clock.now, oldest.id)
+			s.b.ClientDisconnected(f.clock.now, oldest.id)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	}, 0x9f04164adf41fdfa},
 	{"overload without gossip", func() Config {
 		cfg := testConfig(2, 12, 90)
-		cfg.Policy.MayTell = false
+		cfg.Policy.CanGossip = false
 		return cfg
 	}, func(f *Service, run func(time.Duration)) {
 		run(5 * time.Second)
@@ -213,7 +213,7 @@
 	}, 0xbc01dd98ca6b1cbc},
 	{"roll-out, probes and closes allowed", func() Config {
 		cfg := testConfig(3, 20, 20)
-		cfg.Policy.MayProbe, cfg.Policy.Reports, cfg.Policy.CloseWithin = true, policy.HasInFlight, 100*ms
+		cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.DrainCloseTimeout = true, policy.HasInFlight, 100*ms
 		return cfg
 	}, func(f *Service, run func(time.Duration)) {
 		run(2 * time.Second)
@@ -254,7 +254,7 @@
 	{"short deadlines", func() Config {
 		cfg := testConfig(4, 12, 60)
 		for i := range cfg.Policy.Classes {
-			cfg.Policy.Classes[i].Aim, cfg.Policy.Classes[i].Deadline = 60*ms, 120*ms
+			cfg.Policy.Classes[i].LatencyObjective, cfg.Policy.Classes[i].Deadline = 60*ms, 120*ms
 		}
 		return cfg
 	}, func(f *Service, run func(time.Duration)) {
@@ -275,7 +275,7 @@
 	}, 0xfd590881f2b5d24f},
 	{"cold servers", func() Config {
 		cfg := testConfig(0, 100, 2)
-		cfg.Servers, cfg.Policy.ColdFrom, cfg.Policy.ColdMultiple = 6, 0.1, 1.2
+		cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 6, 0.1, 1.2
 		return cfg
 	}, func(f *Service, run func(time.Duration)) {
 		run(2 * time.Second)
--- a/internal/fleetsim/helpers_test.go
+++ b/internal/fleetsim/helpers_test.go
@@ -21,8 +21,8 @@
 // a second of each sidecar. What servers, network and discovery take is assumed; the settings are like those of
 // the days at size, with a class that is unsafe.
 func testConfig(seed uint64, n int, rate float64) Config {
-	class := func(worth float64, e policy.Effect) policy.Class {
-		return policy.Class{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: worth, Effect: e, Window: 6 * time.Second}
+	class := func(worth float64, e policy.Idempotency) policy.Class {
+		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
 	}
 	quota := 1.25 * max(rate, 0.1) * float64(n)
 	return Config{
@@ -34,11 +34,11 @@
 		Discovery: &Discovery{Call: 100 * time.Microsecond, Line: 2 * time.Microsecond, Patience: 3 * time.Second,
 			Late: 100 * ms, Detect: 3 * time.Second},
 		Policy: policy.Config{
-			Classes: []policy.Class{class(1, policy.Safe), class(8, policy.Keyed), class(4, policy.Unsafe)},
-			Tenants: []policy.Tenant{{Share: 0.42, Quota: 0.42 * quota}, {Share: 0.33, Quota: 0.33 * quota},
-				{Share: 0.25, Quota: 0.25 * quota}},
-			MaxAttempts: 6, MayCancel: true, MayTell: true, MaxRetryAfter: 2 * time.Second, MarksRepeat: true, Tick: ms,
-			AskList: true, AskWithin: 10 * time.Second, ColdFrom: 0.32, ColdTime: 8400 * ms, ColdMultiple: 4, CrossZonePrice: 0.12,
+			Classes: []policy.Class{class(1, policy.Idempotent), class(8, policy.IdempotentByKey), class(4, policy.NonIdempotent)},
+			Tenants: []policy.Tenant{{Weight: 0.42, Quota: 0.42 * quota}, {Weight: 0.33, Quota: 0.33 * quota},
+				{Weight: 0.25, Quota: 0.25 * quota}},
+			MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
+			PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
 		},
 	}
 }
--- a/internal/fleetsim/rules.go
+++ b/internal/fleetsim/rules.go
@@ -55,7 +55,7 @@
 func (f *Service) ran(a *attempt) {
 	q := a.owner.ask
 	q.runs++
-	if q.runs > 1 && f.cfg.Policy.Classes[q.class].Effect == policy.Unsafe {
+	if q.runs > 1 && f.cfg.Policy.Classes[q.class].Idempotency == policy.NonIdempotent {
 		f.broke(RunsOnce, "run %d of a request of class %d", q.runs, q.class)
 	}
 }
--- a/internal/fleetsim/scale_test.go
+++ b/internal/fleetsim/scale_test.go
@@ -84,7 +84,7 @@
 func measured(c *Config) { c.Measure = true }
 
 // quiet has no client ask and no sidecar tell: what is left are the watches of the list, and the timers.
-func quiet(c *Config) { c.Measure, c.Rate, c.Policy.MayTell = true, 0, false }
+func quiet(c *Config) { c.Measure, c.Rate, c.Policy.CanGossip = true, 0, false }
 
 // steady plays a time that does not count and then d that does.
 func steady(before, d time.Duration) func(f *Service) {
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -25,7 +25,7 @@
 type server struct {
 	f       *Service
 	name    string // instanceId
-	id      policy.ServerID
+	id      policy.EndpointID
 	zone    int
 	started time.Duration // 0: long ago
 	life    int           // counts its starts and ends
@@ -54,10 +54,10 @@
 // warmth is the share of its capacity that the server has at an age.
 func (m *server) warmth(age time.Duration) float64 {
 	p := &m.f.cfg.Policy
-	if m.started == 0 || age >= p.ColdTime {
+	if m.started == 0 || age >= p.SlowStartDuration {
 		return 1
 	}
-	return p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.ColdTime)
+	return p.SlowStartFraction + (1-p.SlowStartFraction)*float64(age)/float64(p.SlowStartDuration)
 }
 
 // budget is how many requests a cold server may get in a window: ColdMultiple of what it can do, and room for
@@ -65,14 +65,14 @@
 func (m *server) budget(window int) float64 {
 	p := &m.f.cfg.Policy
 	middle := time.Duration(window)*coldWindow + coldWindow/2
-	n := p.ColdMultiple * m.warmth(middle) * float64(m.f.cfg.Server.Cores) * float64(coldWindow) / float64(m.f.cfg.Server.Work)
+	n := p.OverloadFactor * m.warmth(middle) * float64(m.f.cfg.Server.Cores) * float64(coldWindow) / float64(m.f.cfg.Server.Work)
 	return n + 2*math.Sqrt(n) + 2
 }
 
 // countCold counts a request that a cold server got, against its budget.
 func (m *server) countCold() {
 	p, age := &m.f.cfg.Policy, m.f.clock.now-m.started
-	if m.started == 0 || age >= p.ColdTime || p.ColdMultiple == 0 {
+	if m.started == 0 || age >= p.SlowStartDuration || p.OverloadFactor == 0 {
 		return
 	}
 	if window := int(age / coldWindow); window != m.window {
@@ -92,7 +92,7 @@
 	case m.lost: // nobody answers
 		return
 	case m.down:
-		m.reject(a, policy.NoConnection)
+		m.reject(a, policy.ConnectFailed)
 		return
 	}
 	m.countCold()
@@ -138,7 +138,7 @@
 		m.choked = true
 	}
 	f.count.Server.Out.add(answerBytes)
-	f.network.request(m.zone, a.owner.from.zone, func() { a.owner.from.end(a, policy.Served) })
+	f.network.request(m.zone, a.owner.from.zone, func() { a.owner.from.end(a, policy.Succeeded) })
 	m.serve()
 }
 
@@ -155,7 +155,7 @@
 	m.life++
 	if !lost {
 		for _, a := range m.queue {
-			m.reject(a, policy.Broken)
+			m.reject(a, policy.ConnectionLost)
 		}
 	}
 	m.queue, m.busy, m.full = nil, 0, 0
@@ -163,7 +163,7 @@
 
 // reject tells a sidecar that an attempt ended without an answer: as an event of its own, for a Balancer may be
 // in the midst of sending.
-func (m *server) reject(a *attempt, e policy.Ending) {
+func (m *server) reject(a *attempt, e policy.Result) {
 	s := a.owner.from
 	m.f.clock.after(0, func() { m.f.network.request(m.zone, s.zone, func() { s.end(a, e) }) })
 }
--- a/internal/fleetsim/service.go
+++ b/internal/fleetsim/service.go
@@ -39,7 +39,7 @@
 
 	// ID names the servers of a list that never changes, where their order is to be another than chance: the
 	// sidecars begin their rounds evenly spread over it. nil: by their instanceIds, as everywhere else.
-	ID func(server int) policy.ServerID
+	ID func(server int) policy.EndpointID
 
 	Measure bool // take the processor time of Balancers, by the real clock
 }
@@ -55,7 +55,7 @@
 	network   *network
 	discovery *discovery
 	servers   []*server
-	byID      map[policy.ServerID]*server
+	byID      map[policy.EndpointID]*server
 	sidecars  []*sidecar
 	zones     map[string]int
 	requests  policy.RequestID
@@ -99,7 +99,7 @@
 		return nil, fmt.Errorf("fleet: a mix of %d classes, and there are %d", len(cfg.Mix), len(cfg.Policy.Classes))
 	}
 	f := &Service{cfg: cfg, clock: &clock{now: time.Second}, rng: rand.New(rand.NewPCG(cfg.Seed, 2)),
-		byID: make(map[policy.ServerID]*server), zones: make(map[string]int),
+		byID: make(map[policy.EndpointID]*server), zones: make(map[string]int),
 		classes: make([]ClassCounts, len(cfg.Policy.Classes)), reach: make([]time.Duration, cfg.Zones)}
 	f.network = newNetwork(cfg.Network, f.clock, f.rng, cfg.Zones, cfg.Regions)
 	for z := range cfg.Zones {
@@ -198,8 +198,8 @@
 func (f *Service) Good() float64 {
 	good, all := 0.0, 0.0
 	for i, c := range f.classes {
-		good += f.cfg.Policy.Classes[i].Worth * float64(c.InTime)
-		all += f.cfg.Policy.Classes[i].Worth * float64(c.Asked)
+		good += f.cfg.Policy.Classes[i].PriorityWeight * float64(c.InTime)
+		all += f.cfg.Policy.Classes[i].PriorityWeight * float64(c.Asked)
 	}
 	return good / all
 }
@@ -269,7 +269,7 @@
 }
 
 // announce tells discovery of a server's state, from the server's zone or, where the server can't, by itself.
-func (f *Service) announce(i int, state policy.State) {
+func (f *Service) announce(i int, state policy.EndpointState) {
 	if f.discovery == nil {
 		return
 	}
@@ -316,7 +316,7 @@
 		if f.discovery != nil {
 			f.clock.after(f.discovery.cfg.Detect+f.discovery.cfg.Late, func() {
 				if m.life == life && m.down {
-					f.discovery.change(i, policy.Gone)
+					f.discovery.change(i, policy.Removed)
 				}
 			})
 		}
@@ -376,7 +376,7 @@
 func (f *Service) restart(i int, pause time.Duration, then func()) {
 	m := f.servers[i]
 	m.stop(false)
-	f.announce(i, policy.Gone)
+	f.announce(i, policy.Removed)
 	life := m.life
 	f.clock.after(pause, func() {
 		if m.life == life {
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -33,7 +33,7 @@
 	rate    float64
 	busy    bool // it is one of the few whose processor time is told apart
 	held    map[policy.RequestID]*request
-	leaving map[policy.ServerID]time.Duration // servers that leave, by when that was written to it
+	leaving map[policy.EndpointID]time.Duration // servers that leave, by when that was written to it
 
 	// The following of the list.
 	version   int64 // of the list that is held; below 0: none
@@ -77,15 +77,15 @@
 	}
 	s.b, s.version = b, -1
 	s.asked, s.following, s.heard, s.silent = false, false, false, false
-	s.held, s.leaving = make(map[policy.RequestID]*request), make(map[policy.ServerID]time.Duration)
+	s.held, s.leaving = make(map[policy.RequestID]*request), make(map[policy.EndpointID]time.Duration)
 	s.b.Start(f.clock.now)
 	if known != nil {
 		s.version = known.Version
-		kind := policy.ListCached
+		kind := policy.CachedUpdate
 		if f.discovery == nil {
-			kind = policy.ListFull
+			kind = policy.FullUpdate
 		}
-		s.b.List(f.clock.now, kind, known.Servers)
+		s.b.UpdateEndpoints(f.clock.now, kind, known.Servers)
 	}
 	s.arrive()
 	return nil
@@ -171,8 +171,8 @@
 		}
 	})
 	from := s.measured()
-	s.b.Request(f.clock.now, policy.Request{ID: r.id, Class: q.class, Tenant: q.tenant, Left: clientsWait,
-		Repeat: tries < 2, Key: q.key})
+	s.b.Request(f.clock.now, policy.Request{ID: r.id, Class: q.class, Tenant: q.tenant, Timeout: clientsWait,
+		ClientRetry: tries < 2, Key: q.key})
 	s.serving(from)
 }
 
@@ -203,15 +203,15 @@
 	return r
 }
 
-// Refuse has the client of a refused request ask at once, as long as it still has tries.
-func (s *sidecar) Refuse(id policy.RequestID, _ time.Duration) {
+// Reject has the client of a refused request ask at once, as long as it still has tries.
+func (s *sidecar) Reject(id policy.RequestID, _ time.Duration) {
 	r, f := s.lookup(id), s.f
 	if r == nil || !s.answer(r) {
 		return
 	}
 	q := r.ask
 	f.mark(2, uint64(s.index), uint64(id))
-	if q.runs > 0 && f.cfg.Policy.Classes[q.class].Effect == policy.Unsafe {
+	if q.runs > 0 && f.cfg.Policy.Classes[q.class].Idempotency == policy.NonIdempotent {
 		f.broke(RunsOnce, "request %d ran and was refused as harmless to repeat", id)
 	}
 	if r.tries == 0 || f.clock.now-q.begun > clientsWait {
@@ -237,21 +237,21 @@
 	s.f.count.Failed++
 }
 
-// Wake is kept to the millisecond.
-func (s *sidecar) Wake(d time.Duration) {
+// SetTimer is kept to the millisecond.
+func (s *sidecar) SetTimer(d time.Duration) {
 	life := s.life
 	s.f.clock.after(max(d, time.Millisecond), func() {
 		if s.life != life {
 			return
 		}
 		from := s.measured()
-		s.b.Wake(s.f.clock.now)
+		s.b.TimerFired(s.f.clock.now)
 		s.control(from)
 	})
 }
 
-// Tell reaches each of the others a little later, or not.
-func (s *sidecar) Tell(n policy.News) {
+// Broadcast reaches each of the others a little later, or not.
+func (s *sidecar) Broadcast(n policy.GossipMessage) {
 	f, raw := s.f, gossip.Encode(n)
 	f.count.Gossip.Out.add(len(raw) + datagramHeaders)
 	arriving := make([][]*sidecar, f.cfg.Zones*datagramSteps) // by their zone and step
@@ -282,7 +282,7 @@
 	s.f.count.Gossip.In.add(len(raw) + datagramHeaders)
 	begun := s.measured()
 	if n, err := gossip.Decode(raw); err == nil {
-		s.b.Heard(s.f.clock.now, from, n)
+		s.b.ReceiveGossip(s.f.clock.now, from, n)
 	}
 	s.control(begun)
 }
@@ -295,7 +295,7 @@
 }
 
 // Send starts an attempt.
-func (s *sidecar) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+func (s *sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	r, f := s.lookup(id), s.f
 	if r == nil {
 		return
@@ -312,21 +312,21 @@
 }
 
 // end tells the Balancer how an attempt ended, once.
-func (s *sidecar) end(a *attempt, e policy.Ending) {
+func (s *sidecar) end(a *attempt, e policy.Result) {
 	f, r := s.f, a.owner
 	if a.ended || s.life != r.life {
 		return
 	}
 	a.ended = true
-	if e == policy.Served {
+	if e == policy.Succeeded {
 		f.count.Requests.In.add(answerBytes)
 	} else {
 		f.network.request(s.zone, a.to.zone, func() { a.to.drop(a) })
 	}
-	if e == policy.Served && !r.over {
+	if e == policy.Succeeded && !r.over {
 		r.over = true
 		c := &f.classes[r.ask.class]
-		if f.clock.now-r.ask.begun <= f.cfg.Policy.Classes[r.ask.class].Aim {
+		if f.clock.now-r.ask.begun <= f.cfg.Policy.Classes[r.ask.class].LatencyObjective {
 			c.InTime++
 			f.count.InTime++
 		} else {
@@ -338,22 +338,22 @@
 	f.mark(5+uint64(e), uint64(s.index), uint64(r.id))
 	settled := r.over
 	from := s.measured()
-	s.b.Outcome(f.clock.now, policy.Outcome{ID: r.id, Attempt: a.number, Ending: e, Settled: settled})
+	s.b.Outcome(f.clock.now, policy.Outcome{RequestID: r.id, Attempt: a.number, Result: e, Answered: settled})
 	s.serving(from)
 	s.forget(r)
 }
 
 // Close, Probe and Log have nothing to do in the model: servers keep no connections and send no reports.
-func (s *sidecar) Close(policy.ServerID) {}
+func (s *sidecar) CloseIdle(policy.EndpointID) {}
 
-// Probe is never allowed by the model's settings.
-func (s *sidecar) Probe(policy.ServerID) {}
+// HealthCheck is never allowed by the model's settings.
+func (s *sidecar) HealthCheck(policy.EndpointID) {}
 
 // Log is for people.
 func (s *sidecar) Log(string) {}
 
-// WatchList has the list followed.
-func (s *sidecar) WatchList() {
+// WatchEndpoints has the list followed.
+func (s *sidecar) WatchEndpoints() {
 	if s.f.discovery != nil {
 		s.asked = true
 		s.f.clock.after(0, s.follow)
@@ -460,21 +460,21 @@
 	}
 	f.count.Lines += int64(len(l.Servers))
 	f.mark(20, uint64(s.index), uint64(l.Version))
-	kind := policy.ListDelta
+	kind := policy.DeltaUpdate
 	if l.Whole || index < 0 {
-		kind = policy.ListFull
+		kind = policy.FullUpdate
 	}
 	s.written(&l, kind)
 	s.heard, s.silent, s.version = true, false, l.Version
 	from = s.measured()
-	s.b.List(f.clock.now, kind, l.Servers)
+	s.b.UpdateEndpoints(f.clock.now, kind, l.Servers)
 	s.control(from)
 	s.next()
 }
 
 // written notes which servers the sidecar has now been told of that leave.
-func (s *sidecar) written(l *endpointlist.List, kind policy.ListKind) {
-	named := make(map[policy.ServerID]bool)
+func (s *sidecar) written(l *endpointlist.List, kind policy.UpdateKind) {
+	named := make(map[policy.EndpointID]bool)
 	for _, e := range l.Servers {
 		named[e.ID] = true
 		if e.State == policy.Ready {
@@ -483,7 +483,7 @@
 			s.leaving[e.ID] = s.f.clock.now
 		}
 	}
-	if kind != policy.ListFull {
+	if kind != policy.FullUpdate {
 		return
 	}
 	for _, m := range s.f.servers {
@@ -497,7 +497,7 @@
 func (s *sidecar) failed() {
 	s.following = false
 	from := s.measured()
-	s.b.List(s.f.clock.now, policy.ListFailed, nil)
+	s.b.UpdateEndpoints(s.f.clock.now, policy.UpdateFailed, nil)
 	s.control(from)
 	s.follow()
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,10 +24,10 @@
 var ErrForm = errors.New("no news in the form of this version")
 
 // Encode puts news into a datagram.
-func Encode(n policy.News) []byte {
+func Encode(n policy.GossipMessage) []byte {
 	out := append(make([]byte, 0, size), mark...)
-	out = binary.LittleEndian.AppendUint64(out, uint64(n.At.Microseconds()))
-	for _, f := range []float64{n.Rate, n.Answers, n.Crowd} {
+	out = binary.LittleEndian.AppendUint64(out, uint64(n.SentAt.Microseconds()))
+	for _, f := range []float64{n.RequestRate, n.Responses, n.Congestion} {
 		out = binary.LittleEndian.AppendUint32(out, math.Float32bits(float32(f)))
 	}
 	return out
@@ -35,16 +35,16 @@
 
 // Decode reads a datagram. Whether its figures can be is for those to judge who use them, but times that
 // no clock tells are no news.
-func Decode(raw []byte) (policy.News, error) {
+func Decode(raw []byte) (policy.GossipMessage, error) {
 	if len(raw) != size || string(raw[:len(mark)]) != mark {
-		return policy.News{}, ErrForm
+		return policy.GossipMessage{}, ErrForm
 	}
 	at := int64(binary.LittleEndian.Uint64(raw[len(mark):]))
 	if at < 0 || at > math.MaxInt64/int64(time.Microsecond)/2 {
-		return policy.News{}, ErrForm
+		return policy.GossipMessage{}, ErrForm
 	}
 	figure := func(i int) float64 {
 		return float64(math.Float32frombits(binary.LittleEndian.Uint32(raw[len(mark)+8+4*i:])))
 	}
-	return policy.News{At: time.Duration(at) * time.Microsecond, Rate: figure(0), Answers: figure(1), Crowd: figure(2)}, nil
+	return policy.GossipMessage{SentAt: time.Duration(at) * time.Microsecond, RequestRate: figure(0), Responses: figure(1), Congestion: figure(2)}, nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNewsComesThrough(t *testing.T) {
-	n := policy.News{At: 123456789 * time.Microsecond, Rate: 18.5, Answers: 40, Crowd: 0.125}
+	n := policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125}
 	raw := Encode(n)
 	if len(raw) > Most {
 		t.Fatalf("%d bytes, at most %d", len(raw), Most)
@@ -22,7 +22,7 @@
 }
 
 func TestWhatIsNoNewsIsAnError(t *testing.T) {
-	good := Encode(policy.News{At: time.Second})
+	good := Encode(policy.GossipMessage{SentAt: time.Second})
 	for name, raw := range map[string][]byte{
 		"nothing":      nil,
 		"cut off":      good[:len(good)-1],
@@ -38,7 +38,7 @@
 
 // Whatever comes, Decode ends with an error or with news that has the same form again.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(policy.News{At: time.Hour, Rate: 1, Answers: 2, Crowd: 3}))
+	f.Add(Encode(policy.GossipMessage{SentAt: time.Hour, RequestRate: 1, Responses: 2, Congestion: 3}))
 	f.Add([]byte("chn1"))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -48,8 +48,8 @@
 		}
 		again, err := Decode(Encode(n))
 		same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
-		if err != nil || again.At != n.At || !same(again.Rate, n.Rate) || !same(again.Answers, n.Answers) ||
-			!same(again.Crowd, n.Crowd) {
+		if err != nil || again.SentAt != n.SentAt || !same(again.RequestRate, n.RequestRate) || !same(again.Responses, n.Responses) ||
+			!same(again.Congestion, n.Congestion) {
 			t.Errorf("%+v became %+v, %v", n, again, err)
 		}
 	})
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -133,8 +133,8 @@
 
 // takePeers reads where the other sidecars are. Without their addresses this one goes by what it sees itself.
 func (c *Config) takePeers(listen, all string, peers []string) error {
-	if !c.Policy.MayTell || listen == "" || all == "" || len(peers) == 0 {
-		c.Policy.MayTell = false
+	if !c.Policy.CanGossip || listen == "" || all == "" || len(peers) == 0 {
+		c.Policy.CanGossip = false
 		return nil
 	}
 	var err error
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -16,8 +16,8 @@
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
-	if p.MaxAttempts != 3 || p.Classes[0].Effect != policy.Keyed || p.Classes[1].Effect != policy.Unsafe ||
-		p.Tenants[1].Quota != 50 || p.ColdTime != 5*time.Second || p.Reports&policy.HasInFlight == 0 {
+	if p.MaxAttempts != 3 || p.Classes[0].Idempotency != policy.IdempotentByKey || p.Classes[1].Idempotency != policy.NonIdempotent ||
+		p.Tenants[1].Quota != 50 || p.SlowStartDuration != 5*time.Second || p.ReportFields&policy.HasInFlight == 0 {
 		t.Errorf("the module's config %+v", p)
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -42,8 +42,8 @@
 type listing struct {
 	version int64
 	whole   bool
-	servers []policy.Server
-	address map[policy.ServerID]string
+	servers []policy.Endpoint
+	address map[policy.EndpointID]string
 }
 
 // parseListing reads an answer. One malformed entry makes the whole answer unusable.
@@ -80,13 +80,13 @@
 	if cfg.DrainGrace > 0 { // where lists are pushed, what has changed counts as told at once
 		d.lastRetry = min(d.lastRetry, cfg.DrainGrace/4)
 	}
-	if !cfg.Policy.AskList {
+	if !cfg.Policy.PollsEndpoints {
 		d.again = min(d.again, 2*d.lastRetry)
 	}
 	if len(cfg.Known.servers) > 0 {
 		d.version = cfg.Known.version
 	}
-	if cfg.Policy.AskList {
+	if cfg.Policy.PollsEndpoints {
 		d.asked = make(chan struct{}, 1)
 	}
 	d.dial = (&net.Dialer{KeepAlive: -1}).DialContext // as with servers
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -339,7 +339,7 @@
 	l.upstream.settle = 0
 	old := l.hosts[serverID("s-0")]
 	attempt(t, l.upstream, old, "1", generous)
-	l.take(listing{servers: []policy.Server{{ID: 7, State: policy.Ready}}, address: map[policy.ServerID]string{7: s.address}}, policy.ListDelta)
+	l.take(listing{servers: []policy.Endpoint{{ID: 7, State: policy.Ready}}, address: map[policy.EndpointID]string{7: s.address}}, policy.DeltaUpdate)
 	attempt(t, l.upstream, l.hosts[7], "2", generous)
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn == second.conn {
 		t.Error("the new server's request went over the old one's connection")
@@ -355,20 +355,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(moved, policy.ListDelta)
+	l.take(moved, policy.DeltaUpdate)
 	if l.hosts[id].address != "127.0.0.1:82" {
 		t.Errorf("address %q after the move", l.hosts[id].address)
 	}
-	l.take(listing{}, policy.ListDelta)
+	l.take(listing{}, policy.DeltaUpdate)
 	if len(l.hosts) != 1 {
 		t.Errorf("addresses %v after no change", l.hosts)
 	}
-	l.take(listing{servers: []policy.Server{{ID: id, State: policy.Gone}}}, policy.ListDelta)
+	l.take(listing{servers: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
 	if len(l.hosts) != 0 {
 		t.Errorf("addresses %v, the server is gone", l.hosts)
 	}
-	l.take(moved, policy.ListDelta)
-	l.take(listing{whole: true}, policy.ListFull)
+	l.take(moved, policy.DeltaUpdate)
+	l.take(listing{whole: true}, policy.FullUpdate)
 	if len(l.hosts) != 0 {
 		t.Errorf("addresses %v after a whole list of none", l.hosts)
 	}
--- a/internal/sidecar/endings_test.go
+++ b/internal/sidecar/endings_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(news, policy.ListFull)
+	l.take(news, policy.FullUpdate)
 	l.settle()
 }
 
@@ -309,7 +309,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.take(news, policy.ListDelta)
+			l.take(news, policy.DeltaUpdate)
 			come <- true
 			l.next(t) // the attempt has ended as not sent, and the next begins
 			if to := wait(t, "the second call", dialling); to != other.address {
@@ -378,7 +378,7 @@
 			client(t, address, look("queued"))
 			l.next(t)
 			l.now += idleFor
-			l.b.Wake(l.now)
+			l.b.TimerFired(l.now)
 			l.settle()
 			if len(l.requests) != 2 || len(s.seen) > 0 || len(full.seen) != 1 {
 				t.Errorf("%d requests wait, %d sent to one server, %d to the other, want 2, 0 and 1 before the news",
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -208,17 +208,17 @@
 		return no(http.StatusBadRequest, "the path is of another class than X-Priority-Class")
 	}
 	class, key := &f.cfg.Policy.Classes[q.Class], h.Get("Idempotency-Key")
-	if want := methods[class.Effect]; r.Method != want {
+	if want := methods[class.Idempotency]; r.Method != want {
 		return no(http.StatusMethodNotAllowed, "requests of this class are sent with "+want)
 	}
 	switch {
-	case class.Effect == policy.Keyed && key == "":
+	case class.Idempotency == policy.IdempotentByKey && key == "":
 		return no(http.StatusBadRequest, "Idempotency-Key is missing")
-	case class.Effect == policy.Unsafe && key != "":
+	case class.Idempotency == policy.NonIdempotent && key != "":
 		return no(http.StatusBadRequest, "Idempotency-Key is of no use in this class")
-	case class.Effect == policy.Safe && r.ContentLength != 0:
+	case class.Idempotency == policy.Idempotent && r.ContentLength != 0:
 		return no(http.StatusBadRequest, "GET has no body")
-	case class.Effect != policy.Safe && h["Content-Length"] == nil:
+	case class.Idempotency != policy.Idempotent && h["Content-Length"] == nil:
 		return no(http.StatusLengthRequired, "Content-Length is missing")
 	case r.ContentLength > bodyLimit:
 		return no(http.StatusRequestEntityTooLarge, "the body is too long")
@@ -232,7 +232,7 @@
 		return no(http.StatusBadRequest, "X-Timeout is missing, malformed or out of range")
 	}
 	if cost := h.Get("X-Cost"); cost != "" {
-		if q.Work, ok = duration(cost + "u"); !ok {
+		if q.ExpectedWork, ok = duration(cost + "u"); !ok {
 			return no(http.StatusBadRequest, "X-Cost is malformed")
 		}
 	}
@@ -241,13 +241,13 @@
 		_, _ = io.WriteString(sum, key) // a hash takes everything
 		q.Key = sum.Sum64()
 	}
-	q.Repeat = h.Get("X-Retried") == "1"
+	q.ClientRetry = h.Get("X-Retried") == "1"
 	return q, left, nil
 }
 
 // methods are what each effect's requests are sent with.
-var methods = map[policy.Effect]string{
-	policy.Safe: http.MethodGet, policy.Keyed: http.MethodPost, policy.Unsafe: http.MethodPost,
+var methods = map[policy.Idempotency]string{
+	policy.Idempotent: http.MethodGet, policy.IdempotentByKey: http.MethodPost, policy.NonIdempotent: http.MethodPost,
 }
 
 // duration reads a number with the unit m (milliseconds) or u (microseconds).
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -34,10 +34,10 @@
 	events   chan func(now time.Duration)
 	now      time.Duration // the time of the event under way
 	requests map[policy.RequestID]*request
-	hosts    map[policy.ServerID]*host // the servers that are listed and not gone
-	notSent  []policy.Outcome          // owed once the event under way is over
-	wakes    []time.Duration           // when Wake is due, in order
-	timer    *time.Timer               // set for the first of them
+	hosts    map[policy.EndpointID]*host // the servers that are listed and not gone
+	notSent  []policy.Outcome            // owed once the event under way is over
+	wakes    []time.Duration             // when Wake is due, in order
+	timer    *time.Timer                 // set for the first of them
 }
 
 // request is one in the table. It stays until it has its answer and all its attempts have ended.
@@ -64,7 +64,7 @@
 		clock: c, upstream: up, watch: func() {}, most: cfg.Policy.MaxAttempts,
 		events:   make(chan func(time.Duration), eventQueue),
 		requests: make(map[policy.RequestID]*request),
-		hosts:    make(map[policy.ServerID]*host),
+		hosts:    make(map[policy.EndpointID]*host),
 		timer:    time.NewTimer(time.Hour),
 	}
 	var err error
@@ -83,7 +83,7 @@
 	l.now = l.clock.now()
 	l.b.Start(l.now)
 	known.whole = true
-	l.take(known, policy.ListCached)
+	l.take(known, policy.CachedUpdate)
 	counters := time.NewTicker(countersEvery)
 	defer counters.Stop()
 	for {
@@ -111,7 +111,7 @@
 		due++
 	}
 	if l.wakes = slices.Delete(l.wakes, 0, due); due > 0 {
-		l.b.Wake(l.now)
+		l.b.TimerFired(l.now)
 	}
 	l.setTimer()
 }
@@ -134,25 +134,25 @@
 
 // list takes news from discovery.
 func (l *loop) list(news listing) {
-	kind := policy.ListDelta
+	kind := policy.DeltaUpdate
 	if news.whole {
-		kind = policy.ListFull
+		kind = policy.FullUpdate
 	}
 	l.post(func(time.Duration) { l.take(news, kind) })
 }
 
 func (l *loop) listFailed() {
-	l.post(func(now time.Duration) { l.b.List(now, policy.ListFailed, nil) })
+	l.post(func(now time.Duration) { l.b.UpdateEndpoints(now, policy.UpdateFailed, nil) })
 }
 
-func (l *loop) take(news listing, kind policy.ListKind) {
+func (l *loop) take(news listing, kind policy.UpdateKind) {
 	before := maps.Clone(l.hosts)
 	if news.whole {
 		clear(l.hosts)
 	}
 	for _, s := range news.servers {
 		switch h, address := before[s.ID], news.address[s.ID]; {
-		case s.State == policy.Gone:
+		case s.State == policy.Removed:
 			delete(l.hosts, s.ID)
 		case h != nil && h.address == address:
 			l.hosts[s.ID] = h
@@ -169,7 +169,7 @@
 			l.upstream.leave(h)
 		}
 	}
-	l.b.List(l.now, kind, news.servers)
+	l.b.UpdateEndpoints(l.now, kind, news.servers)
 }
 
 // ask takes a request on. Its final answer goes to reply, which must have room for it.
@@ -177,7 +177,7 @@
 func (l *loop) ask(q policy.Request, m *message, deadline time.Duration, reply chan<- answer) policy.RequestID {
 	q.ID = policy.RequestID(l.lastID.Add(1))
 	l.post(func(now time.Duration) {
-		q.Left = deadline - now
+		q.Timeout = deadline - now
 		l.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
 		l.b.Request(now, q)
 	})
@@ -196,7 +196,7 @@
 func (l *loop) leave(now time.Duration, id policy.RequestID, r *request) {
 	if !r.over {
 		l.finish(id, r, nil)
-		l.b.ClientGone(now, id)
+		l.b.ClientDisconnected(now, id)
 	}
 }
 
@@ -219,12 +219,12 @@
 
 // outcome tells the module how an attempt ended, once for each.
 func (l *loop) outcome(o policy.Outcome) {
-	r := l.requests[o.ID]
+	r := l.requests[o.RequestID]
 	r.out--
-	o.Settled = r.over
+	o.Answered = r.over
 	l.b.Outcome(l.now, o)
 	if r.over && r.out == 0 {
-		delete(l.requests, o.ID)
+		delete(l.requests, o.RequestID)
 	}
 }
 
@@ -236,16 +236,16 @@
 	if res.ending == policy.NotSent && r.message.gone() { // as was found before it was written: no further one
 		l.leave(l.now, id, r)
 	}
-	if res.ending == policy.Served && !r.over {
+	if res.ending == policy.Succeeded && !r.over {
 		l.finish(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
-	l.outcome(policy.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load})
+	l.outcome(policy.Outcome{RequestID: id, Attempt: number, Result: res.ending, Report: res.load})
 }
 
 // Send starts an attempt, given up after timeout or at the client's deadline. Where the request is
 // over or out of attempts or time, or the server is not listed, nothing is sent, nor where it is not on its way
 // within the time that there is for that.
-func (l *loop) Send(id policy.RequestID, to policy.ServerID, timeout, within time.Duration) {
+func (l *loop) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
 	r := l.requests[id]
 	if r == nil {
 		return // over, with all attempts ended: the module has forgotten it too
@@ -255,7 +255,7 @@
 	h := l.hosts[to]
 	if r.over || number >= l.most || left <= 0 || min(timeout, within) < 0 || h == nil {
 		r.attempts = append(r.attempts, nil)
-		l.notSent = append(l.notSent, policy.Outcome{ID: id, Attempt: number, Ending: policy.NotSent})
+		l.notSent = append(l.notSent, policy.Outcome{RequestID: id, Attempt: number, Result: policy.NotSent})
 		return
 	}
 	if timeout == 0 || timeout > left {
@@ -270,8 +270,8 @@
 	}))
 }
 
-// Refuse ends a request; trying again is harmless.
-func (l *loop) Refuse(id policy.RequestID, pause time.Duration) {
+// Reject ends a request; trying again is harmless.
+func (l *loop) Reject(id policy.RequestID, pause time.Duration) {
 	if r := l.requests[id]; r != nil && !r.over {
 		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, pause: pause})
 	}
@@ -297,8 +297,8 @@
 	}
 }
 
-// Wake sees to a call of Balancer.Wake after d. Timers due at one moment share that call.
-func (l *loop) Wake(d time.Duration) {
+// SetTimer sees to a call of Balancer.TimerFired after d. Timers due at one moment share that call.
+func (l *loop) SetTimer(d time.Duration) {
 	due := l.now + max(d, 0)
 	i, found := slices.BinarySearch(l.wakes, due)
 	if found {
@@ -309,36 +309,36 @@
 	}
 }
 
-// Probe asks a server for a load report.
-func (l *loop) Probe(to policy.ServerID) {
-	told := func(ok bool, load policy.Load) {
-		l.post(func(now time.Duration) { l.b.Probed(now, to, ok, load) })
+// HealthCheck asks a server for a load report.
+func (l *loop) HealthCheck(to policy.EndpointID) {
+	told := func(ok bool, load policy.LoadReport) {
+		l.post(func(now time.Duration) { l.b.HealthChecked(now, to, ok, load) })
 	}
 	h := l.hosts[to]
 	if h == nil { // no longer listed; Host's methods must not call back, so from outside
-		go told(false, policy.Load{})
+		go told(false, policy.LoadReport{})
 		return
 	}
 	l.upstream.probe(h, l.now, told)
 }
 
-// Close closes the idle connections to a server.
-func (l *loop) Close(to policy.ServerID) {
+// CloseIdle closes the idle connections to a server.
+func (l *loop) CloseIdle(to policy.EndpointID) {
 	if h := l.hosts[to]; h != nil {
 		l.upstream.close(h)
 	}
 }
 
 // heard takes news of another sidecar.
-func (l *loop) heard(from int, n policy.News) {
-	l.post(func(now time.Duration) { l.b.Heard(now, from, n) })
+func (l *loop) heard(from int, n policy.GossipMessage) {
+	l.post(func(now time.Duration) { l.b.ReceiveGossip(now, from, n) })
 }
 
-// Tell sends news to the other sidecars.
-func (l *loop) Tell(n policy.News) { l.peers.tell(gossip.Encode(n)) }
+// Broadcast sends news to the other sidecars.
+func (l *loop) Broadcast(n policy.GossipMessage) { l.peers.tell(gossip.Encode(n)) }
 
-// WatchList subscribes to the server list.
-func (l *loop) WatchList() { l.watch() }
+// WatchEndpoints subscribes to the server list.
+func (l *loop) WatchEndpoints() { l.watch() }
 
 // Log writes a line for the people on call.
 func (l *loop) Log(line string) { slog.Info("module", "says", line) }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -25,7 +25,7 @@
 	}
 	l.now = c.now()
 	l.b.Start(l.now)
-	l.take(cfg.Known, policy.ListCached)
+	l.take(cfg.Known, policy.CachedUpdate)
 	return l
 }
 
@@ -68,10 +68,10 @@
 		t.Fatal("the request is still in the table")
 	}
 	l.requests[7] = r // as if another attempt were out
-	l.Refuse(7, time.Second)
+	l.Reject(7, time.Second)
 	l.Fail(7)
 	l.Send(7, to, 0, 0)
-	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (policy.Outcome{ID: 7, Attempt: 1, Ending: policy.NotSent}) {
+	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
 		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.notSent)
 	}
 	l.settle()
@@ -119,8 +119,8 @@
 	l.now += 2 * generous
 	l.Send(8, to, 0, 0)
 	want := []policy.Outcome{
-		{ID: 7, Attempt: 3, Ending: policy.NotSent}, {ID: 8, Attempt: 0, Ending: policy.NotSent},
-		{ID: 8, Attempt: 1, Ending: policy.NotSent}, {ID: 8, Attempt: 2, Ending: policy.NotSent},
+		{RequestID: 7, Attempt: 3, Result: policy.NotSent}, {RequestID: 8, Attempt: 0, Result: policy.NotSent},
+		{RequestID: 8, Attempt: 1, Result: policy.NotSent}, {RequestID: 8, Attempt: 2, Result: policy.NotSent},
 	}
 	if len(l.notSent) != len(want) {
 		t.Fatalf("not sent %+v, want %+v", l.notSent, want)
@@ -162,7 +162,7 @@
 	l.wakes = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
-		l.Wake(d * time.Millisecond)
+		l.SetTimer(d * time.Millisecond)
 	}
 	if len(l.wakes) != 4 || l.wakes[0] != now || l.wakes[1] != now+10*time.Millisecond {
 		t.Fatalf("due in %v from %v", l.wakes, now)
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -26,7 +26,7 @@
 
 // newPeers listens for other sidecars, or returns nil where the configuration names none.
 func newPeers(cfg *Config) (*peers, error) {
-	if !cfg.Policy.MayTell {
+	if !cfg.Policy.CanGossip {
 		return nil, nil
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.PeerListen))
@@ -37,7 +37,7 @@
 }
 
 // run sends what is told and hands what is heard to heard, until ctx ends.
-func (p *peers) run(ctx context.Context, heard func(from int, n policy.News)) {
+func (p *peers) run(ctx context.Context, heard func(from int, n policy.GossipMessage)) {
 	if p == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // take hands on one datagram, if it is one: from a sidecar that the configuration names, in gossip's form.
-func (p *peers) take(raw []byte, from netip.AddrPort, heard func(from int, n policy.News)) {
+func (p *peers) take(raw []byte, from netip.AddrPort, heard func(from int, n policy.GossipMessage)) {
 	number, known := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
 		p.foreign.Add(1)
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -39,17 +39,17 @@
 	}
 	type news struct {
 		from int
-		n    policy.News
+		n    policy.GossipMessage
 	}
 	heard := make(chan news, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		p.run(ctx, func(from int, n policy.News) { heard <- news{from, n} })
+		p.run(ctx, func(from int, n policy.GossipMessage) { heard <- news{from, n} })
 		close(ended)
 	}()
 
-	want := policy.News{At: time.Hour, Rate: 2, Answers: 3, Crowd: 0.5}
+	want := policy.GossipMessage{SentAt: time.Hour, RequestRate: 2, Responses: 3, Congestion: 0.5}
 	p.tell(gossip.Encode(want))
 	buf := make([]byte, 1000)
 	if err := all.SetReadDeadline(time.Now().Add(generous)); err != nil {
@@ -91,7 +91,7 @@
 		file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
 	})
 	p, err := newPeers(cfg)
-	if p != nil || err != nil || cfg.Policy.MayTell {
+	if p != nil || err != nil || cfg.Policy.CanGossip {
 		t.Fatalf("peers %v, %v, though the settings do not allow them", p, err)
 	}
 	p.tell([]byte("x"))
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -74,18 +74,18 @@
 			for class, want := range d.attempts {
 				side := start(t, under(t, d.file), addresses...)
 				cfg := testConfig(t, listed(1, "ready"), under(t, d.file))
-				effect := cfg.Policy.Classes[cfg.Classes[class]].Effect
+				effect := cfg.Policy.Classes[cfg.Classes[class]].Idempotency
 				headers := []string{"X-Tenant-Id", d.tenant, "X-Timeout", "13000m"}
-				if effect == policy.Keyed {
+				if effect == policy.IdempotentByKey {
 					headers = append(headers, "Idempotency-Key", "k")
 				}
 				method, body := methods[effect], ""
-				if effect != policy.Safe {
+				if effect != policy.Idempotent {
 					body = "1"
 				}
 				res, _ := do(t, side.request(t, method, "/"+class, body, headers...))
 				wantStatus := http.StatusServiceUnavailable
-				if effect == policy.Unsafe || effect == policy.Keyed && cfg.Policy.Classes[cfg.Classes[class]].Scope != policy.ScopeAll {
+				if effect == policy.NonIdempotent || effect == policy.IdempotentByKey && cfg.Policy.Classes[cfg.Classes[class]].DedupScope != policy.DedupEverywhere {
 					wantStatus = http.StatusBadGateway
 				}
 				if res.StatusCode != wantStatus {
@@ -132,16 +132,16 @@
 		}
 		if p := cfg.Policy; p.MaxAttempts != d.tries || cfg.DrainGrace != d.grace || float64(cfg.MostOpen) != s.Number("caps.max_open") ||
 			cfg.ConnIdle != s.Duration("caps.conn_idle_ms") || cfg.DialTimeout != s.Duration("caps.dial_timeout_ms") ||
-			p.MaxRetryAfter != s.Duration("caps.max_retry_after_ms") || p.AskList != (s.Text("discovery") == "ask") ||
-			p.CrossZonePrice != s.Number("charges.cross_zone") || len(cfg.Tenants) != s.Count("orgs.count") {
+			p.MaxRetryAfter != s.Duration("caps.max_retry_after_ms") || p.PollsEndpoints != (s.Text("discovery") == "ask") ||
+			p.CrossZoneCost != s.Number("charges.cross_zone") || len(cfg.Tenants) != s.Count("orgs.count") {
 			t.Errorf("%s: %+v", d.file, cfg)
 		}
 		l := loopFor(t, cfg)
 		for i, tenant := range cfg.Policy.Tenants {
 			// a slot is a whole one, and two standard deviations are kept for chance
 			for j, other := range cfg.Policy.Tenants {
-				if tenant.Share > other.Share && l.b.SlotsFree(i) < l.b.SlotsFree(j) {
-					t.Errorf("%s: share %v has %d slots, share %v %d", d.file, tenant.Share, l.b.SlotsFree(i), other.Share, l.b.SlotsFree(j))
+				if tenant.Weight > other.Weight && l.b.FreeSlots(i) < l.b.FreeSlots(j) {
+					t.Errorf("%s: share %v has %d slots, share %v %d", d.file, tenant.Weight, l.b.FreeSlots(i), other.Weight, l.b.FreeSlots(j))
 				}
 			}
 		}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -43,10 +43,10 @@
 
 // result is how an attempt ended.
 type result struct {
-	ending policy.Ending
+	ending policy.Result
 	header http.Header
 	body   []byte
-	load   policy.Load
+	load   policy.LoadReport
 }
 
 // upstream carries attempts and probes to the servers, over connections that it keeps. It is not
@@ -101,7 +101,7 @@
 		idle:      make(map[*host][]*conn),
 		unsent:    make(map[*exchange]*host),
 	}
-	if cfg.Policy.Reports != 0 {
+	if cfg.Policy.ReportFields != 0 {
 		u.probePath = "/metrics/load"
 	}
 	return u
@@ -111,7 +111,7 @@
 type exchange struct {
 	mu      sync.Mutex
 	over    bool          // it is given up
-	ending  policy.Ending // and ends so
+	ending  policy.Result // and ends so
 	written bool          // some of its request may be on the way
 	stop    func()        // ends what it is at: dialling, or its connection
 }
@@ -120,9 +120,9 @@
 func (x *exchange) cancel() { x.give(policy.Cancelled, false) }
 
 // withhold gives the exchange up if nothing of its request is on the way yet.
-func (x *exchange) withhold(ending policy.Ending) { x.give(ending, true) }
+func (x *exchange) withhold(ending policy.Result) { x.give(ending, true) }
 
-func (x *exchange) give(ending policy.Ending, unwritten bool) {
+func (x *exchange) give(ending policy.Result, unwritten bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if unwritten && x.written {
@@ -149,7 +149,7 @@
 	return true
 }
 
-func (x *exchange) givenUp() (policy.Ending, bool) {
+func (x *exchange) givenUp() (policy.Result, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.ending, x.over
@@ -172,12 +172,12 @@
 			done(result{ending: ending})
 			return
 		}
-		out := result{ending: policy.Errored, load: u.load(res.Header.Get("X-Server-Load"))}
+		out := result{ending: policy.ServerError, load: u.load(res.Header.Get("X-Server-Load"))}
 		switch never := res.Header.Get("X-Not-Processed") == "1"; {
 		case res.StatusCode == http.StatusOK:
-			out.ending, out.header, out.body = policy.Served, res.Header, body
+			out.ending, out.header, out.body = policy.Succeeded, res.Header, body
 		case never && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout):
-			out.ending = policy.TurnedAway
+			out.ending = policy.Rejected
 		}
 		done(out)
 	}()
@@ -204,13 +204,13 @@
 }
 
 // probe asks a server for its load report. The result goes to told, once.
-func (u *upstream) probe(to *host, now time.Duration, told func(ok bool, load policy.Load)) {
+func (u *upstream) probe(to *host, now time.Duration, told func(ok bool, load policy.LoadReport)) {
 	go func() {
 		m := &message{method: http.MethodGet, uri: u.probePath, host: to.address}
 		until := now + u.dialTimeout
 		res, body, _ := u.exchange(new(exchange), to, m, until, until)
 		if res == nil {
-			told(false, policy.Load{})
+			told(false, policy.LoadReport{})
 			return
 		}
 		told(res.StatusCode == http.StatusOK, u.load(string(body)))
@@ -245,8 +245,8 @@
 
 // exchange sends a request and reads its answer. Without a whole answer the ending says what is
 // known: NoConnection until the last byte of the request is written, as it cannot have run before.
-func (u *upstream) exchange(x *exchange, to *host, m *message, by, until time.Duration) (*http.Response, []byte, policy.Ending) {
-	unsent := func(err error) policy.Ending {
+func (u *upstream) exchange(x *exchange, to *host, m *message, by, until time.Duration) (*http.Response, []byte, policy.Result) {
+	unsent := func(err error) policy.Result {
 		ending, over := x.givenUp()
 		switch {
 		case over:
@@ -256,7 +256,7 @@
 		case by < until && u.clock.now() >= by:
 			return policy.NotSent // nor was it waited for as long as usual
 		}
-		return policy.NoConnection
+		return policy.ConnectFailed
 	}
 	// The word of a client's leaving may be long in coming, where CPU is short and much is under way: what is about
 	// to be dialled or written looks for itself.
@@ -291,7 +291,7 @@
 		u.discard(c)
 	}
 	if err == nil {
-		return res, body, policy.Served
+		return res, body, policy.Succeeded
 	}
 	var timeout net.Error
 	ending, over := x.givenUp()
@@ -304,7 +304,7 @@
 		}
 		return nil, nil, policy.TimedOut
 	}
-	return nil, nil, policy.Broken // or malformed: it may have run
+	return nil, nil, policy.ConnectionLost // or malformed: it may have run
 }
 
 var (
@@ -537,10 +537,10 @@
 }
 
 // load reads a report of the form "TEXT name=value, name=value".
-func (u *upstream) load(report string) policy.Load {
+func (u *upstream) load(report string) policy.LoadReport {
 	report, ok := strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
 	if !ok {
-		return policy.Load{}
+		return policy.LoadReport{}
 	}
 	values := simprotocol.Report{N: min(len(u.reports), len(simprotocol.Report{}.Values))}
 	for i := range values.N {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -38,25 +38,25 @@
 	long := strings.Repeat("x", bodyLimit+1)
 	for name, c := range map[string]struct {
 		answer string
-		ending policy.Ending
+		ending policy.Result
 		kept   bool
 	}{
-		"served":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
-		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", policy.Served, true},
-		"interim first":       {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Served, true},
-		"to be closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", policy.Served, false},
-		"until the end":       {"HTTP/1.1 200 OK\r\n\r\nhi", policy.Broken, false},
-		"bytes left over":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", policy.Served, false},
-		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"turned away":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.TurnedAway, true},
-		"over already":        {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.TurnedAway, true},
-		"503 with no promise": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"500 with a promise":  {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Errored, true},
-		"no HTTP":             {"SMTP ready\r\n\r\n", policy.Broken, false},
-		"cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.Broken, false},
-		"body too long":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.Broken, false},
-		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+long+"\r\n", 9), policy.Broken, false},
-		"broken":              {"", policy.Broken, false},
+		"served":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Succeeded, true},
+		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", policy.Succeeded, true},
+		"interim first":       {"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", policy.Succeeded, true},
+		"to be closed":        {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", policy.Succeeded, false},
+		"until the end":       {"HTTP/1.1 200 OK\r\n\r\nhi", policy.ConnectionLost, false},
+		"bytes left over":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n", policy.Succeeded, false},
+		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		"turned away":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, true},
+		"over already":        {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected, true},
+		"503 with no promise": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		"500 with a promise":  {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError, true},
+		"no HTTP":             {"SMTP ready\r\n\r\n", policy.ConnectionLost, false},
+		"cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", policy.ConnectionLost, false},
+		"body too long":       {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long), policy.ConnectionLost, false},
+		"headers without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+long+"\r\n", 9), policy.ConnectionLost, false},
+		"broken":              {"", policy.ConnectionLost, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, func(conn net.Conn, r received) bool {
@@ -69,7 +69,7 @@
 			u := testUpstream(t)
 			if got := attempt(t, u, s.host, "1", generous); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
-			} else if got.ending == policy.Served && string(got.body) != "hi" {
+			} else if got.ending == policy.Succeeded && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
 			}
 			if idle := len(u.idle[s.host]); idle != 0 != c.kept || u.open != idle {
@@ -90,8 +90,8 @@
 	})
 	u := testUpstream(t)
 	attempt(t, u, s.host, "1", generous)
-	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.Broken {
-		t.Fatalf("ending %v, want %v", got.ending, policy.Broken)
+	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.ConnectionLost {
+		t.Fatalf("ending %v, want %v", got.ending, policy.ConnectionLost)
 	}
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn != second.conn || len(s.seen) > 0 {
 		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.seen))
@@ -121,8 +121,8 @@
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.Served {
-		t.Fatalf("ending %v, want %v", got.ending, policy.Served)
+	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.Succeeded {
+		t.Fatalf("ending %v, want %v", got.ending, policy.Succeeded)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
 		t.Errorf("stale %d, dialled %d, open %d, want 1, 2, 1", u.stale, u.dialled, u.open)
@@ -196,7 +196,7 @@
 	u := testUpstream(t)
 	u.most = 1
 	attempt(t, u, a.host, "1", generous)
-	if got := attempt(t, u, b.host, "2", generous); got.ending != policy.Served || u.open != 1 {
+	if got := attempt(t, u, b.host, "2", generous); got.ending != policy.Succeeded || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
 	done := make(chan result, 1)
@@ -217,8 +217,8 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testUpstream(t)
-	if got := attempt(t, u, &host{address: address}, "1", generous); got.ending != policy.NoConnection || u.open != 0 {
-		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, policy.NoConnection)
+	if got := attempt(t, u, &host{address: address}, "1", generous); got.ending != policy.ConnectFailed || u.open != 0 {
+		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, policy.ConnectFailed)
 	}
 }
 
@@ -228,7 +228,7 @@
 	u := testUpstream(t)
 	if got := attempt(t, u, s.host, "1", 30*time.Millisecond); got.ending != policy.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
-		if got.ending != policy.NoConnection || len(s.seen) > 0 {
+		if got.ending != policy.ConnectFailed || len(s.seen) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, policy.TimedOut)
 		}
 	}
@@ -343,7 +343,7 @@
 	wait(t, "the request", s.seen)
 	u.leave(s.host)
 	close(release)
-	if got := wait(t, "its end", done); got.ending != policy.Served || u.open != 0 || len(u.idle) != 0 {
+	if got := wait(t, "its end", done); got.ending != policy.Succeeded || u.open != 0 || len(u.idle) != 0 {
 		t.Errorf("ending %v, %d connections open, want served and none", got.ending, u.open)
 	}
 }
@@ -351,7 +351,7 @@
 func TestProbe(t *testing.T) {
 	type told struct {
 		ok   bool
-		load policy.Load
+		load policy.LoadReport
 	}
 	for status, want := range map[int]bool{200: true, 503: false} {
 		s := newStub(t, func(c net.Conn, r received) bool {
@@ -364,11 +364,11 @@
 		})
 		u := testUpstream(t)
 		done := make(chan told, 2)
-		u.probe(s.host, u.clock.now(), func(ok bool, load policy.Load) { done <- told{ok, load} })
+		u.probe(s.host, u.clock.now(), func(ok bool, load policy.LoadReport) { done <- told{ok, load} })
 		got := wait(t, "the result", done)
-		load := policy.Load{
-			Has:      policy.HasInFlight | policy.HasService | policy.HasServed,
-			InFlight: 7, Served: 2.5, Service: 40 * time.Millisecond,
+		load := policy.LoadReport{
+			Fields:   policy.HasInFlight | policy.HasServiceTime | policy.HasThroughput,
+			InFlight: 7, Throughput: 2.5, ServiceTime: 40 * time.Millisecond,
 		}
 		if got.ok != want || got.load != load {
 			t.Errorf("status %d: %+v, want %v with %+v", status, got, want, load)
--- a/internal/sidecarbench/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -323,7 +323,7 @@
 		return at
 	}, func(i int, _ time.Time) error {
 		// A calm fleet: answers at a tenth of the aim.
-		news := policy.News{At: time.Duration(time.Now().UnixNano()), Rate: callsEach, Answers: callsEach, Crowd: 0.01}
+		news := policy.GossipMessage{SentAt: time.Duration(time.Now().UnixNano()), RequestRate: callsEach, Responses: callsEach, Congestion: 0.01}
 		n, err := senders[i%len(senders)].WriteToUDPAddrPort(gossip.Encode(news), to)
 		c.out.Add(int64(n))
 		return err
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -117,26 +117,26 @@
 }
 
 // Columns are the fields of a load report in their order on the wire; 0 stands for one not known.
-type Columns []policy.LoadFields
+type Columns []policy.ReportFields
 
 // Columns tells what the load reports hold.
 func (s *Settings) Columns() Columns {
 	var c Columns
 	for name := range strings.SplitSeq(s.text("telemetry.columns"), ",") {
-		c = append(c, map[string]policy.LoadFields{
+		c = append(c, map[string]policy.ReportFields{
 			"busy_reqs": policy.HasInFlight,
 			"pending":   policy.HasQueued,
-			"cpu_share": policy.HasBusy,
-			"svc_ms":    policy.HasService,
-			"served_ps": policy.HasServed,
-			"failed_ps": policy.HasErrors,
+			"cpu_share": policy.HasUtilization,
+			"svc_ms":    policy.HasServiceTime,
+			"served_ps": policy.HasThroughput,
+			"failed_ps": policy.HasErrorRate,
 		}[name])
 	}
 	return c
 }
 
 // fields is the set of all columns.
-func (c Columns) fields() (all policy.LoadFields) {
+func (c Columns) fields() (all policy.ReportFields) {
 	for _, f := range c {
 		all |= f
 	}
@@ -144,27 +144,27 @@
 }
 
 // Load reads a report by its columns. A value that is no usable number counts as absent.
-func (c Columns) Load(r Report) policy.Load {
-	var l policy.Load
+func (c Columns) Load(r Report) policy.LoadReport {
+	var l policy.LoadReport
 	for i := range min(r.N, len(c)) {
 		v := float64(r.Values[i])
 		if !(v >= 0) || math.IsInf(v, 0) {
 			continue
 		}
-		l.Has |= c[i]
+		l.Fields |= c[i]
 		switch c[i] {
 		case policy.HasInFlight:
 			l.InFlight = v
 		case policy.HasQueued:
 			l.Queued = v
-		case policy.HasBusy:
-			l.Busy = v
-		case policy.HasService:
-			l.Service = Millis(v)
-		case policy.HasServed:
-			l.Served = v
-		case policy.HasErrors:
-			l.Errors = v
+		case policy.HasUtilization:
+			l.Utilization = v
+		case policy.HasServiceTime:
+			l.ServiceTime = Millis(v)
+		case policy.HasThroughput:
+			l.Throughput = v
+		case policy.HasErrorRate:
+			l.ErrorRate = v
 		}
 	}
 	return l
@@ -173,65 +173,65 @@
 // Config turns the settings into the module's own.
 func (s *Settings) Config() (policy.Config, error) {
 	c := policy.Config{
-		Balancers:      s.count("balancers"),
-		Index:          s.count("me"),
-		Zone:           s.count("zone"),
-		MaxAttempts:    s.count("caps.most_tries"),
-		MayCancel:      s.flag("caps.may_cancel"),
-		MayProbe:       s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MayTell:        s.flag("caps.peers"),
-		MaxRetryAfter:  Millis(s.number("caps.max_retry_after_ms", 0)),
-		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		OrderSettle:    Millis(s.number("rules.order_settle_ms", 0)),
-		CloseWithin:    Millis(s.number("rules.let_go_in_ms", 0)),
-		Tick:           Millis(s.number("period_ms", 0)),
-		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.number("rules.ask_within_ms", 0)),
-		ColdFrom:       s.number("rules.cold_from", 0),
-		ColdTime:       Millis(s.number("rules.cold_ms", 0)),
-		ColdMultiple:   s.number("rules.fall_multiple", 0),
-		CrossZonePrice: s.number("charges.cross_zone", 0),
-		Budget: policy.RetryBudget{
-			Span:  Millis(s.number("rules.budget_span_ms", 0)),
-			Free:  s.number("rules.extra_free", 0),
-			Share: s.number("rules.further_ratio", 0),
+		Balancers:          s.count("balancers"),
+		Index:              s.count("me"),
+		Zone:               s.count("zone"),
+		MaxAttempts:        s.count("caps.most_tries"),
+		CanCancel:          s.flag("caps.may_cancel"),
+		CanHealthCheck:     s.flag("caps.probes") && s.text("telemetry.how") != "silent",
+		CanGossip:          s.flag("caps.peers"),
+		MaxRetryAfter:      Millis(s.number("caps.max_retry_after_ms", 0)),
+		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
+		OrderingDelay:      Millis(s.number("rules.order_settle_ms", 0)),
+		DrainCloseTimeout:  Millis(s.number("rules.let_go_in_ms", 0)),
+		EventInterval:      Millis(s.number("period_ms", 0)),
+		PollsEndpoints:     s.text("discovery") == "ask",
+		PollInterval:       Millis(s.number("rules.ask_within_ms", 0)),
+		SlowStartFraction:  s.number("rules.cold_from", 0),
+		SlowStartDuration:  Millis(s.number("rules.cold_ms", 0)),
+		OverloadFactor:     s.number("rules.fall_multiple", 0),
+		CrossZoneCost:      s.number("charges.cross_zone", 0),
+		RetryBudget: policy.RetryBudget{
+			Interval:   Millis(s.number("rules.budget_span_ms", 0)),
+			MinRetries: s.number("rules.extra_free", 0),
+			RetryRatio: s.number("rules.further_ratio", 0),
 		},
 	}
 	if s.text("telemetry.how") != "silent" {
-		c.Reports = s.Columns().fields()
+		c.ReportFields = s.Columns().fields()
 	}
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			Aim:        Millis(s.number(p+"aim_ms", 0)),
-			AimStretch: s.number(p+"aim_stretch", 0),
-			Deadline:   Millis(s.number(p+"hard_limit_ms", 0)),
-			LateShare:  s.number(p+"late_share", 0),
-			Worth:      s.number(p+"worth", 0),
-			Window:     Millis(s.number(p+"window_ms", 0)),
-			Effect:     policy.Unsafe, // an unknown word is taken for the strictest
-			Scope:      policy.ScopeCell,
-			InOrder:    s.flag(p + "fifo_by_key"),
+			LatencyObjective: Millis(s.number(p+"aim_ms", 0)),
+			ObjectivePerWork: s.number(p+"aim_stretch", 0),
+			Deadline:         Millis(s.number(p+"hard_limit_ms", 0)),
+			LateValue:        s.number(p+"late_share", 0),
+			PriorityWeight:   s.number(p+"worth", 0),
+			DedupWindow:      Millis(s.number(p+"window_ms", 0)),
+			Idempotency:      policy.NonIdempotent, // an unknown word is taken for the strictest
+			DedupScope:       policy.DedupInCell,
+			OrderedByKey:     s.flag(p + "fifo_by_key"),
 		}
 		switch s.text(p + "semantics") {
 		case "free":
-			k.Effect = policy.Safe
+			k.Idempotency = policy.Idempotent
 		case "guarded":
-			k.Effect = policy.Keyed
+			k.Idempotency = policy.IdempotentByKey
 		}
 		switch s.text(p + "dedup_scope") {
 		case "all":
-			k.Scope = policy.ScopeAll
+			k.DedupScope = policy.DedupEverywhere
 		case "zone":
-			k.Scope = policy.ScopeZone
+			k.DedupScope = policy.DedupInZone
 		}
 		c.Classes = append(c.Classes, k)
 	}
 	for i := range s.count("orgs.count") {
 		p := fmt.Sprintf("orgs.%d.", i)
 		c.Tenants = append(c.Tenants, policy.Tenant{
-			Share: s.number(p+"share", 0),
-			Quota: s.number(p+"quota_per_s", 0),
+			Weight: s.number(p+"share", 0),
+			Quota:  s.number(p+"quota_per_s", 0),
 		})
 	}
 	return c, s.err
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -84,19 +84,19 @@
 	if err != nil || up != entries[1].Upstream || end != EndServed || report.N != 4 || report.Values[3] != 7 {
 		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
 	}
-	columns := Columns{policy.HasBusy, policy.HasService, policy.HasServed, policy.HasInFlight}
-	want := policy.Load{Has: columns.fields(), Busy: 0.5, Service: 14500 * time.Microsecond, Served: 140, InFlight: 7}
+	columns := Columns{policy.HasUtilization, policy.HasServiceTime, policy.HasThroughput, policy.HasInFlight}
+	want := policy.LoadReport{Fields: columns.fields(), Utilization: 0.5, ServiceTime: 14500 * time.Microsecond, Throughput: 140, InFlight: 7}
 	if l := columns.Load(report); l != want {
 		t.Fatalf("load %+v, want %+v", l, want)
 	}
-	if l := (Columns{0, policy.HasBusy}).Load(report); l.Has != policy.HasBusy || l.Busy != 14.5 {
+	if l := (Columns{0, policy.HasUtilization}).Load(report); l.Fields != policy.HasUtilization || l.Utilization != 14.5 {
 		t.Fatalf("load %+v, want the second column alone", l)
 	}
 	report.Values[0] = float32(math.NaN())
-	if l := columns.Load(report); l.Has&policy.HasBusy != 0 {
+	if l := columns.Load(report); l.Fields&policy.HasUtilization != 0 {
 		t.Fatalf("load %+v: a value that is no number counts", l)
 	}
-	if l := columns.Load(Report{}); l != (policy.Load{}) {
+	if l := columns.Load(Report{}); l != (policy.LoadReport{}) {
 		t.Fatalf("absent load %+v, want it unknown", l)
 	}
 	rec, _, _ = Next(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
@@ -254,25 +254,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.MayCancel || !c.MayProbe ||
-		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
+	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.CanCancel || !c.CanHealthCheck ||
+		!c.PollsEndpoints || c.SlowStartFraction != 0.32 || c.CrossZoneCost != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != policy.Keyed || k.Scope != policy.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.DedupInCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != policy.Unsafe {
+	if c.Classes[1].Idempotency != policy.NonIdempotent {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
-	if b := (policy.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
-		c.CloseWithin != 300*time.Millisecond || c.OrderSettle != 250*time.Millisecond || !c.Classes[1].InOrder {
+	if b := (policy.RetryBudget{Interval: 10 * time.Second, MinRetries: 1, RetryRatio: 0.2}); c.RetryBudget != b ||
+		c.DrainCloseTimeout != 300*time.Millisecond || c.OrderingDelay != 250*time.Millisecond || !c.Classes[1].OrderedByKey {
 		t.Errorf("config of the further rules %+v", c)
 	}
-	want := Columns{policy.HasErrors, policy.HasService, policy.HasServed, policy.HasInFlight}
-	if c.Tenants[0].Quota != 342 || c.Tenants[0].Share != 0.79 {
+	want := Columns{policy.HasErrorRate, policy.HasServiceTime, policy.HasThroughput, policy.HasInFlight}
+	if c.Tenants[0].Quota != 342 || c.Tenants[0].Weight != 0.79 {
 		t.Errorf("tenant %+v", c.Tenants[0])
 	}
-	if got := s.Columns(); !slices.Equal(got, want) || c.Reports != got.fields() {
+	if got := s.Columns(); !slices.Equal(got, want) || c.ReportFields != got.fields() {
 		t.Errorf("columns %+v", got)
 	}
 	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
@@ -338,7 +338,7 @@
 		t.Fatal(err)
 	}
 	got, err := b.Config()
-	if err != nil || !reflect.DeepEqual(got, want) || len(got.Classes) != 2 || got.Reports != policy.HasService|policy.HasInFlight {
+	if err != nil || !reflect.DeepEqual(got, want) || len(got.Classes) != 2 || got.ReportFields != policy.HasServiceTime|policy.HasInFlight {
 		t.Errorf("config %+v, error %v, want %+v", got, err, want)
 	}
 	if b.Text("weights") != "" || b.Count("orgs.count") != 1 || b.Duration("classes.1.aim_ms") != 600*time.Millisecond {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -35,14 +35,14 @@
 			x, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
-				x.List(0, ListFull, list)
+				x.UpdateEndpoints(0, FullUpdate, list)
 			}
 		})
 		b.Run(fmt.Sprintf("delta/servers=%d", servers), func(b *testing.B) {
 			x, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
-				x.List(0, ListDelta, list[:1])
+				x.UpdateEndpoints(0, DeltaUpdate, list[:1])
 			}
 		})
 	}
@@ -50,14 +50,14 @@
 
 func benchConfig(peers int) Config {
 	cfg := sizeConfig(peers)
-	cfg.Tenants = []Tenant{{Share: 1, Quota: benchRate * float64(peers)}}
+	cfg.Tenants = []Tenant{{Weight: 1, Quota: benchRate * float64(peers)}}
 	return cfg
 }
 
 // benchList is in no order of ids, as discovery's is.
-func benchList(servers int) (list []Server) {
+func benchList(servers int) (list []Endpoint) {
 	for i := range servers {
-		list = append(list, Server{ID: ServerID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
 	}
 	return list
 }
@@ -65,13 +65,13 @@
 // silentHost carries nothing out, so that only the decisions are measured.
 type silentHost struct{ fakeHost }
 
-func (*silentHost) Send(RequestID, ServerID, time.Duration, time.Duration) {}
-func (*silentHost) Refuse(RequestID, time.Duration)                        {}
-func (*silentHost) Fail(RequestID)                                         {}
-func (*silentHost) Cancel(RequestID, int)                                  {}
-func (*silentHost) Wake(time.Duration)                                     {}
-func (*silentHost) WatchList()                                             {}
-func (*silentHost) Tell(News)                                              {}
+func (*silentHost) Send(RequestID, EndpointID, time.Duration, time.Duration) {}
+func (*silentHost) Reject(RequestID, time.Duration)                          {}
+func (*silentHost) Fail(RequestID)                                           {}
+func (*silentHost) Cancel(RequestID, int)                                    {}
+func (*silentHost) SetTimer(time.Duration)                                   {}
+func (*silentHost) WatchEndpoints()                                          {}
+func (*silentHost) Broadcast(GossipMessage)                                  {}
 
 func benchRequests(b *testing.B, peers, servers int) {
 	cfg := benchConfig(peers)
@@ -82,24 +82,24 @@
 	const apart, took = time.Second / benchRate, 20 * ms
 	now := time.Second
 	x.Start(now)
-	x.List(now, ListFull, benchList(servers))
+	x.UpdateEndpoints(now, FullUpdate, benchList(servers))
 	var next, done RequestID
 	var wake time.Duration
 	told, owed, news := 1, 0.0, 0
 	hear := func() {
-		for owed += float64(peers-1) * float64(apart) / float64(x.aims(tellAims)); owed >= 1; owed-- {
-			x.Heard(now, told, News{At: now - ms, Rate: benchRate, Answers: benchRate / 2, Crowd: 0.0016})
+		for owed += float64(peers-1) * float64(apart) / float64(x.objectives(tellAims)); owed >= 1; owed-- {
+			x.ReceiveGossip(now, told, GossipMessage{SentAt: now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
 			told, news = told%(peers-1)+1, news+1
 		}
 	}
 	decide := func() {
 		next++
-		x.Request(now, Request{ID: next, Class: int(next % 2), Left: time.Second})
+		x.Request(now, Request{ID: next, Class: int(next % 2), Timeout: time.Second})
 		for ; done+RequestID(took/apart) < next; done++ {
-			x.Outcome(now, Outcome{ID: done + 1, Ending: Served, Settled: true})
+			x.Outcome(now, Outcome{RequestID: done + 1, Result: Succeeded, Answered: true})
 		}
 		if now >= wake {
-			x.Wake(now)
+			x.TimerFired(now)
 			wake = now + busyTick
 		}
 	}
@@ -121,7 +121,7 @@
 		deciding += time.Since(heard)
 		hearing += heard.Sub(begun)
 	}
-	if after := x.Counters(); after.Refused != before.Refused || after.Held != before.Held || after.Ordinary == before.Ordinary {
+	if after := x.Counters(); after.Rejected != before.Rejected || after.ConcurrencyLimited != before.ConcurrencyLimited || after.RoundRobinSends == before.RoundRobinSends {
 		b.Fatalf("not the ordinary path: %+v, %+v before", after, before)
 	}
 	b.ReportMetric(float64(deciding.Nanoseconds())/float64(b.N), "ns/request")
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -35,24 +35,24 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	all := f.warm + f.cold
 	cfg := sizeConfig(f.processes)
-	cfg.AskList, cfg.CrossZonePrice = false, 0
+	cfg.PollsEndpoints, cfg.CrossZoneCost = false, 0
 	total := coldQuota * coldPerSec * float64(all)
 	for i := range cfg.Tenants {
-		cfg.Tenants[i].Quota = cfg.Tenants[i].Share * total
+		cfg.Tenants[i].Quota = cfg.Tenants[i].Weight * total
 	}
 	if f.unknown {
 		cfg.Tenants = nil
 	}
 	started := 10 * time.Second // on the balancers' clock
-	var list []Server
+	var list []Endpoint
 	for i := range all {
-		s := Server{ID: ServerID(0x9e3779b97f4a7c15 * uint64(i+1)), State: Ready, Weight: 1}
+		s := Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), State: Ready, Weight: 1}
 		list = append(list, s)
 	}
-	isCold := map[ServerID]int{}
+	isCold := map[EndpointID]int{}
 	fresh := slices.Clone(list[:f.cold])
 	for i := range fresh {
-		fresh[i].Started = started
+		fresh[i].StartedAt = started
 		isCold[fresh[i].ID] = i
 	}
 	rates, sum := make([]float64, f.processes), 0.0
@@ -79,9 +79,9 @@
 		}
 		b.Start(begin)
 		if f.restarted {
-			b.List(begin, ListCached, append(slices.Clone(fresh), list[f.cold:]...))
+			b.UpdateEndpoints(begin, CachedUpdate, append(slices.Clone(fresh), list[f.cold:]...))
 		} else {
-			b.List(begin, ListCached, list[f.cold:])
+			b.UpdateEndpoints(begin, CachedUpdate, list[f.cold:])
 		}
 		processes = append(processes, &process{b: b, h: h})
 	}
@@ -90,18 +90,18 @@
 		p    *process
 		id   RequestID
 		n    int
-		ends Ending
+		ends Result
 	}
 	var endings []ending
 	attempts := map[RequestID]int{}
 	arrived := make([][]time.Duration, f.cold)
 	id := RequestID(0)
 	told := false
-	for now := begin; now < started+cfg.ColdTime; now += coldStep {
+	for now := begin; now < started+cfg.SlowStartDuration; now += coldStep {
 		if !f.restarted && !told && now >= started+300*ms {
 			told = true
 			for _, p := range processes {
-				p.b.List(now, ListDelta, fresh)
+				p.b.UpdateEndpoints(now, DeltaUpdate, fresh)
 			}
 		}
 		for len(endings) > 0 && endings[0].at <= now {
@@ -113,11 +113,11 @@
 			want := total * f.load * rates[i] / sum * coldStep.Seconds()
 			for want > 0 && rng.Float64() < want {
 				want--
-				p.b.Request(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(3), Left: 2 * time.Second})
+				p.b.Request(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(3), Timeout: 2 * time.Second})
 				id++
 			}
 			if (now/coldStep+time.Duration(i))%4 == 0 {
-				p.b.Wake(now)
+				p.b.TimerFired(now)
 			}
 		}
 		for _, p := range processes {
@@ -126,14 +126,14 @@
 				n := attempts[s.id]
 				attempts[s.id]++
 				c, cold := isCold[s.to]
-				e := ending{now + coldAnswer, p, s.id, n, Served}
+				e := ending{now + coldAnswer, p, s.id, n, Succeeded}
 				if cold {
 					arrived[c] = append(arrived[c], now)
 					if n > 0 {
 						further++
 					}
 				} else if rng.Float64() < f.fails {
-					e.at, e.ends = now+coldStep, TurnedAway
+					e.at, e.ends = now+coldStep, Rejected
 				}
 				at, _ := slices.BinarySearchFunc(endings, e.at+1, func(x ending, at time.Duration) int { return int(x.at - at) })
 				endings = slices.Insert(endings, at, e)
@@ -145,8 +145,8 @@
 			for last < len(times) && times[last] < times[first]+coldWindow {
 				last++
 			}
-			age := float64(times[first]-started) / float64(cfg.ColdTime)
-			n := cfg.ColdMultiple * coldPerSec * coldWindow.Seconds() * (cfg.ColdFrom + (1-cfg.ColdFrom)*age)
+			age := float64(times[first]-started) / float64(cfg.SlowStartDuration)
+			n := cfg.OverloadFactor * coldPerSec * coldWindow.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*age)
 			worst = max(worst, float64(last-first)/(n+2*math.Sqrt(n)+2))
 		}
 	}
--- a/policy/config.go
+++ b/policy/config.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// check returns an error that names the first unusable field of a Config.
-func check(cfg Config) error {
+// validate returns an error that names the first unusable field of a Config.
+func validate(cfg Config) error {
 	bad := func(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 	switch {
 	case cfg.Balancers < 1:
@@ -19,38 +19,38 @@
 		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
-	case bad(cfg.ColdFrom) || cfg.ColdFrom > 1:
-		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
-	case bad(cfg.ColdMultiple) || bad(cfg.CrossZonePrice):
+	case bad(cfg.SlowStartFraction) || cfg.SlowStartFraction > 1:
+		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.SlowStartFraction)
+	case bad(cfg.OverloadFactor) || bad(cfg.CrossZoneCost):
 		return fmt.Errorf("config: ColdMultiple %v or CrossZonePrice %v is negative or no number",
-			cfg.ColdMultiple, cfg.CrossZonePrice)
-	case cfg.Budget.Span < 0 || bad(cfg.Budget.Free) || bad(cfg.Budget.Share):
+			cfg.OverloadFactor, cfg.CrossZoneCost)
+	case cfg.RetryBudget.Interval < 0 || bad(cfg.RetryBudget.MinRetries) || bad(cfg.RetryBudget.RetryRatio):
 		return fmt.Errorf("config: Budget: Span %v, Free %v or Share %v is negative or no number",
-			cfg.Budget.Span, cfg.Budget.Free, cfg.Budget.Share)
-	case cfg.Budget.Span == 0 && cfg.Budget != (RetryBudget{}):
+			cfg.RetryBudget.Interval, cfg.RetryBudget.MinRetries, cfg.RetryBudget.RetryRatio)
+	case cfg.RetryBudget.Interval == 0 && cfg.RetryBudget != (RetryBudget{}):
 		return fmt.Errorf("config: Budget: Span is 0, though Free %v and Share %v are set",
-			cfg.Budget.Free, cfg.Budget.Share)
-	case min(cfg.OrderSettle, cfg.CloseWithin) < 0:
-		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.OrderSettle, cfg.CloseWithin)
-	case min(cfg.MaxRetryAfter, cfg.Tick, cfg.AskWithin, cfg.ColdTime) < 0:
+			cfg.RetryBudget.MinRetries, cfg.RetryBudget.RetryRatio)
+	case min(cfg.OrderingDelay, cfg.DrainCloseTimeout) < 0:
+		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.OrderingDelay, cfg.DrainCloseTimeout)
+	case min(cfg.MaxRetryAfter, cfg.EventInterval, cfg.PollInterval, cfg.SlowStartDuration) < 0:
 		return fmt.Errorf("config: MaxRetryAfter, Tick, AskWithin or ColdTime is negative")
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or Window %v is unusable",
-				i, c.Aim, c.Deadline, c.Window)
+				i, c.LatencyObjective, c.Deadline, c.DedupWindow)
 		}
-		if bad(c.AimStretch) || bad(c.LateShare) || bad(c.Worth) {
+		if bad(c.ObjectivePerWork) || bad(c.LateValue) || bad(c.PriorityWeight) {
 			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or no number", i)
 		}
 	}
 	sum := 0.0
 	for i, t := range cfg.Tenants {
-		if bad(t.Share) || bad(t.Quota) {
+		if bad(t.Weight) || bad(t.Quota) {
 			return fmt.Errorf("config: Tenants[%d]: Share %v or Quota %v is negative or no number",
-				i, t.Share, t.Quota)
+				i, t.Weight, t.Quota)
 		}
-		sum += t.Share
+		sum += t.Weight
 	}
 	if len(cfg.Tenants) > 0 && (sum <= 0 || math.IsInf(sum, 0)) {
 		return fmt.Errorf("config: Tenants: the Share of all adds up to %v", sum)
@@ -58,19 +58,19 @@
 	return nil
 }
 
-// known says whether a request names a class and a tenant that there are, and has time left. Where
+// usable says whether a request names a class and a tenant that there are, and has time left. Where
 // no tenants are set it gives the request the one for all.
-func (b *Balancer) known(q *Request) bool {
+func (b *Balancer) usable(q *Request) bool {
 	if len(b.cfg.Tenants) == 0 {
 		q.Tenant = 0
 	}
-	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.parts) && q.Left > 0
+	return q.Class >= 0 && q.Class < len(b.classes) && q.Tenant >= 0 && q.Tenant < len(b.bulkheads) && q.Timeout > 0
 }
 
 // tenants returns the tenants, or one for all where none are set.
 func (c *Config) tenants() []Tenant {
 	if len(c.Tenants) == 0 {
-		return []Tenant{{Share: 1}}
+		return []Tenant{{Weight: 1}}
 	}
 	return c.Tenants
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,19 +10,19 @@
 // sidecar is the program that embeds the module: it carries out its decisions.
 type sidecar struct{}
 
-func (sidecar) Send(id policy.RequestID, to policy.ServerID, timeout, _ time.Duration) {
+func (sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	fmt.Printf("send request %d, for at most %v\n", id, timeout)
 }
-func (sidecar) Refuse(id policy.RequestID, pause time.Duration) {
+func (sidecar) Reject(id policy.RequestID, pause time.Duration) {
 	fmt.Printf("refuse request %d\n", id)
 }
 func (sidecar) Fail(id policy.RequestID)                { fmt.Printf("fail request %d\n", id) }
 func (sidecar) Cancel(id policy.RequestID, attempt int) {}
-func (sidecar) Wake(d time.Duration)                    {} // call b.Wake after d
-func (sidecar) Close(to policy.ServerID)                {}
-func (sidecar) Probe(to policy.ServerID)                {}
-func (sidecar) Tell(n policy.News)                      {}
-func (sidecar) WatchList()                              {}
+func (sidecar) SetTimer(d time.Duration)                {} // call b.Wake after d
+func (sidecar) CloseIdle(to policy.EndpointID)          {}
+func (sidecar) HealthCheck(to policy.EndpointID)        {}
+func (sidecar) Broadcast(n policy.GossipMessage)        {}
+func (sidecar) WatchEndpoints()                         {}
 func (sidecar) Log(line string)                         { fmt.Println(line) }
 
 func Example() {
@@ -30,7 +30,7 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: policy.Unsafe}},
+		Classes:     []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: policy.NonIdempotent}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
@@ -38,12 +38,12 @@
 	}
 	now := time.Duration(0) // since any moment the program picks
 	b.Start(now)
-	b.List(now, policy.ListFull, []policy.Server{{ID: 7, State: policy.Ready, Weight: 1}})
+	b.UpdateEndpoints(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, State: policy.Ready, Weight: 1}})
 	for id := range policy.RequestID(3) { // one slot, one queue place: the third is refused
-		b.Request(now, policy.Request{ID: id, Left: 2 * time.Second})
+		b.Request(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
-	b.Outcome(now, policy.Outcome{ID: 0, Attempt: 0, Ending: policy.Served, Settled: true})
+	b.Outcome(now, policy.Outcome{RequestID: 0, Attempt: 0, Result: policy.Succeeded, Answered: true})
 	// Output:
 	// send request 0, for at most 1s
 	// refuse request 2
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,19 +13,19 @@
 // fleetConfig is like the settings of the days at size: sidecars of very different traffic, rate requests a second
 // together, and servers of one core in two zones, where calls take no time and a list never changes.
 func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleetsim.Config {
-	class := func(worth float64, e policy.Effect) policy.Class {
-		return policy.Class{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: worth, Effect: e, Window: 6 * time.Second}
+	class := func(worth float64, e policy.Idempotency) policy.Class {
+		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
 	}
 	return fleetsim.Config{
 		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, Rate: rate, Mix: []float64{0.63, 0.37},
-		ID:      func(i int) policy.ServerID { return policy.ServerID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
+		ID:      func(i int) policy.EndpointID { return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
 		Server:  fleetsim.Server{Cores: 1, Work: 27 * ms, Room: 5, Choke: 500 * ms, Rest: 800 * ms},
 		Network: fleetsim.Network{DatagramLeast: 3 * ms, DatagramSpread: 20 * ms, DatagramLoss: 0.05},
 		Policy: policy.Config{
-			Classes:     []policy.Class{class(1, policy.Safe), class(8, policy.Keyed)},
-			Tenants:     []policy.Tenant{{Share: 0.42, Quota: 764}, {Share: 0.33, Quota: 600}, {Share: 0.25, Quota: 455}},
-			MaxAttempts: 6, MayCancel: true, MayTell: true, MaxRetryAfter: 2 * time.Second, MarksRepeat: true, Tick: ms,
-			AskList: true, AskWithin: 10 * time.Second, ColdFrom: 0.32, ColdTime: 8400 * ms, ColdMultiple: 4, CrossZonePrice: 0.12,
+			Classes:     []policy.Class{class(1, policy.Idempotent), class(8, policy.IdempotentByKey)},
+			Tenants:     []policy.Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
+			MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
+			PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
 		},
 	}
 }
@@ -72,7 +72,7 @@
 	good := func(rate float64, tell bool) (sum float64) {
 		for seed := range uint64(4) {
 			cfg := fleetConfig(seed, 80, 60, rate)
-			cfg.Policy.MayTell = tell
+			cfg.Policy.CanGossip = tell
 			sum += play(t, cfg, 3*time.Second, 4*time.Second).Good() / 4
 		}
 		return sum
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -23,7 +23,7 @@
 type goldenAttempt struct {
 	id      RequestID
 	attempt int
-	to      ServerID
+	to      EndpointID
 }
 
 func (h *goldenHost) note(action int, args ...any) {
@@ -34,13 +34,13 @@
 	h.lines = append(h.lines, line)
 }
 
-func (h *goldenHost) Send(id RequestID, to ServerID, timeout, within time.Duration) {
+func (h *goldenHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
 	h.note(1, uint64(id), uint64(to), int64(timeout), int64(within))
 	h.open = append(h.open, goldenAttempt{id, h.tries[id], to})
 	h.tries[id]++
 }
 
-func (h *goldenHost) Refuse(id RequestID, pause time.Duration) {
+func (h *goldenHost) Reject(id RequestID, pause time.Duration) {
 	h.note(2, uint64(id), int64(pause))
 	h.closed[id] = true
 }
@@ -51,14 +51,14 @@
 }
 
 func (h *goldenHost) Cancel(id RequestID, attempt int) { h.note(4, uint64(id), attempt) }
-func (h *goldenHost) Wake(d time.Duration)             { h.note(5, int64(d)) }
-func (h *goldenHost) Close(to ServerID)                { h.note(6, uint64(to)) }
-func (h *goldenHost) Probe(to ServerID)                { h.note(7, uint64(to)) }
-func (h *goldenHost) WatchList()                       { h.note(8) }
+func (h *goldenHost) SetTimer(d time.Duration)         { h.note(5, int64(d)) }
+func (h *goldenHost) CloseIdle(to EndpointID)          { h.note(6, uint64(to)) }
+func (h *goldenHost) HealthCheck(to EndpointID)        { h.note(7, uint64(to)) }
+func (h *goldenHost) WatchEndpoints()                  { h.note(8) }
 func (h *goldenHost) Log(string)                       {}
 
-func (h *goldenHost) Tell(n News) {
-	h.note(9, int64(n.At), n.Rate, n.Answers, n.Crowd)
+func (h *goldenHost) Broadcast(n GossipMessage) {
+	h.note(9, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion)
 }
 
 // goldenWorld plays one seed of random events.
@@ -82,75 +82,75 @@
 	cfg := Config{
 		Balancers: pickOne(w, 1, 2, 50, 300), Zone: w.rng.IntN(2),
 		Slots: pickOne(w, 0, 0, 0, 6, 40), MaxAttempts: 1 + w.rng.IntN(4),
-		MayCancel: w.oneIn(2), MayProbe: !w.oneIn(4), MayTell: !w.oneIn(3),
-		MaxRetryAfter: pickOne(w, 100*ms, time.Second), MarksRepeat: w.oneIn(2),
-		OrderSettle: pickOne(w, 0, 50*ms), CloseWithin: pickOne(w, 0, 100*ms), Tick: pickOne(w, 0, 5*ms, 20*ms),
-		AskList: w.oneIn(2), AskWithin: pickOne(w, 0, 400*ms, 3*time.Second),
-		ColdFrom: pickOne(w, 0.05, 0.3), ColdTime: pickOne(w, 0, 2*time.Second, 8*time.Second),
-		ColdMultiple: pickOne(w, 0, 1.5, 3), CrossZonePrice: pickOne(w, 0, 0.02),
-		Reports: pickOne(w, 0, HasInFlight, HasInFlight|HasBusy|HasQueued, HasInFlight|HasService|HasServed|HasErrors),
+		CanCancel: w.oneIn(2), CanHealthCheck: !w.oneIn(4), CanGossip: !w.oneIn(3),
+		MaxRetryAfter: pickOne(w, 100*ms, time.Second), ClientsMarkRetries: w.oneIn(2),
+		OrderingDelay: pickOne(w, 0, 50*ms), DrainCloseTimeout: pickOne(w, 0, 100*ms), EventInterval: pickOne(w, 0, 5*ms, 20*ms),
+		PollsEndpoints: w.oneIn(2), PollInterval: pickOne(w, 0, 400*ms, 3*time.Second),
+		SlowStartFraction: pickOne(w, 0.05, 0.3), SlowStartDuration: pickOne(w, 0, 2*time.Second, 8*time.Second),
+		OverloadFactor: pickOne(w, 0, 1.5, 3), CrossZoneCost: pickOne(w, 0, 0.02),
+		ReportFields: pickOne(w, 0, HasInFlight, HasInFlight|HasUtilization|HasQueued, HasInFlight|HasServiceTime|HasThroughput|HasErrorRate),
 	}
 	cfg.Index = w.rng.IntN(cfg.Balancers)
 	if w.oneIn(2) {
-		cfg.Budget = RetryBudget{Span: pickOne(w, 200*ms, time.Second), Free: float64(w.rng.IntN(4)), Share: pickOne(w, 0, 0.1, 0.5)}
+		cfg.RetryBudget = RetryBudget{Interval: pickOne(w, 200*ms, time.Second), MinRetries: float64(w.rng.IntN(4)), RetryRatio: pickOne(w, 0, 0.1, 0.5)}
 	}
 	for range 1 + w.rng.IntN(4) {
 		cfg.Classes = append(cfg.Classes, Class{
-			Aim: pickOne(w, 80*ms, 200*ms), AimStretch: pickOne(w, 0, 0, 2.0), Deadline: pickOne(w, 400*ms, 2*time.Second),
-			LateShare: pickOne(w, 0, 0, 0.3), Worth: pickOne(w, 1.0, 1, 3, 0.2), Effect: Effect(w.rng.IntN(3)),
-			Scope: Scope(w.rng.IntN(3)), Window: pickOne(w, 0, 100*ms, time.Second), InOrder: w.oneIn(3),
+			LatencyObjective: pickOne(w, 80*ms, 200*ms), ObjectivePerWork: pickOne(w, 0, 0, 2.0), Deadline: pickOne(w, 400*ms, 2*time.Second),
+			LateValue: pickOne(w, 0, 0, 0.3), PriorityWeight: pickOne(w, 1.0, 1, 3, 0.2), Idempotency: Idempotency(w.rng.IntN(3)),
+			DedupScope: DedupScope(w.rng.IntN(3)), DedupWindow: pickOne(w, 0, 100*ms, time.Second), OrderedByKey: w.oneIn(3),
 		})
 	}
 	quota := pickOne(w, 0, 30, 400.0)
 	for range w.rng.IntN(4) {
-		cfg.Tenants = append(cfg.Tenants, Tenant{Share: 1 + float64(w.rng.IntN(3)), Quota: quota * float64(cfg.Balancers) / 4})
+		cfg.Tenants = append(cfg.Tenants, Tenant{Weight: 1 + float64(w.rng.IntN(3)), Quota: quota * float64(cfg.Balancers) / 4})
 	}
 	return cfg
 }
 
-func (w *goldenWorld) report() Load {
+func (w *goldenWorld) report() LoadReport {
 	if !w.reports {
-		return Load{}
+		return LoadReport{}
 	}
-	return Load{Has: w.cfg.Reports, InFlight: float64(w.rng.IntN(30)), Queued: float64(w.rng.IntN(9)),
-		Busy: w.rng.Float64(), Service: time.Duration(w.rng.IntN(40)) * ms, Served: 30, Errors: 1}
+	return LoadReport{Fields: w.cfg.ReportFields, InFlight: float64(w.rng.IntN(30)), Queued: float64(w.rng.IntN(9)),
+		Utilization: w.rng.Float64(), ServiceTime: time.Duration(w.rng.IntN(40)) * ms, Throughput: 30, ErrorRate: 1}
 }
 
-func (w *goldenWorld) entry(id int, state State) Server {
-	s := Server{ID: ServerID(id), Zone: id % 2, Cell: id%4/2*2 + id%2, State: state, Weight: pickOne(w, 1.0, 1, 2, 0)}
+func (w *goldenWorld) entry(id int, state EndpointState) Endpoint {
+	s := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id%4/2*2 + id%2, State: state, Weight: pickOne(w, 1.0, 1, 2, 0)}
 	if w.oneIn(5) {
-		s.Started = w.host.now - time.Duration(w.rng.IntN(5000))*ms
+		s.StartedAt = w.host.now - time.Duration(w.rng.IntN(5000))*ms
 	}
 	return s
 }
 
 func (w *goldenWorld) list() {
-	kind := ListKind(w.rng.IntN(4))
-	var entries []Server
+	kind := UpdateKind(w.rng.IntN(4))
+	var entries []Endpoint
 	switch kind {
-	case ListFailed:
-	case ListDelta:
-		entries = append(entries, w.entry(w.rng.IntN(24), State(w.rng.IntN(3))))
+	case UpdateFailed:
+	case DeltaUpdate:
+		entries = append(entries, w.entry(w.rng.IntN(24), EndpointState(w.rng.IntN(3))))
 	default:
 		for id := range 4 + w.rng.IntN(20) {
 			entries = append(entries, w.entry(id, pickOne(w, Ready, Ready, Ready, Draining)))
 		}
 	}
-	w.b.List(w.host.now, kind, entries)
+	w.b.UpdateEndpoints(w.host.now, kind, entries)
 }
 
 func (w *goldenWorld) request() {
 	w.next++
 	q := Request{ID: w.next, Class: w.rng.IntN(len(w.cfg.Classes)), Tenant: w.rng.IntN(max(1, len(w.cfg.Tenants))),
-		Key: uint64(w.rng.IntN(6)), Work: pickOne(w, 0, 10*ms, 60*ms), Repeat: w.oneIn(6)}
-	q.Left = w.cfg.Classes[q.Class].Deadline - pickOne(w, 0, 0, 0, 150*ms)
+		Key: uint64(w.rng.IntN(6)), ExpectedWork: pickOne(w, 0, 10*ms, 60*ms), ClientRetry: w.oneIn(6)}
+	q.Timeout = w.cfg.Classes[q.Class].Deadline - pickOne(w, 0, 0, 0, 150*ms)
 	switch w.rng.IntN(200) {
 	case 0:
 		q.Class = 99 // no such class
 	case 1:
 		q.ID = RequestID(w.rng.Uint64N(uint64(w.next))) + 1 // maybe one that is still held
 	case 2:
-		q.Left = 0
+		q.Timeout = 0
 	}
 	w.asked = append(w.asked, q.ID)
 	w.b.Request(w.host.now, q)
@@ -163,14 +163,14 @@
 	i := min(len(w.host.open)-1, w.rng.IntN(1+w.slow))
 	a := w.host.open[i]
 	w.host.open = append(w.host.open[:i:i], w.host.open[i+1:]...)
-	end := Served
+	end := Succeeded
 	if w.oneIn(4) {
-		end = pickOne(w, Errored, TurnedAway, TimedOut, NoConnection, Broken, Cancelled, NotSent)
+		end = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
 	}
-	settled := end == Served || w.oneIn(20)
-	w.b.Outcome(w.host.now, Outcome{ID: a.id, Attempt: a.attempt, Ending: end, Settled: settled, Load: w.report()})
+	settled := end == Succeeded || w.oneIn(20)
+	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: end, Answered: settled, Report: w.report()})
 	if w.oneIn(50) { // told twice
-		w.b.Outcome(w.host.now, Outcome{ID: a.id, Attempt: a.attempt, Ending: Served})
+		w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
 	}
 }
 
@@ -190,23 +190,23 @@
 			w.endOne()
 		}
 	case 11, 12, 13, 14:
-		w.b.Wake(now)
+		w.b.TimerFired(now)
 	case 15:
 		if w.oneIn(12) {
 			w.list()
 		}
 	case 16, 17:
-		w.b.Probed(now, ServerID(w.rng.IntN(24)), !w.oneIn(5), w.report())
+		w.b.HealthChecked(now, EndpointID(w.rng.IntN(24)), !w.oneIn(5), w.report())
 	case 18:
 		at := now - pickOne(w, 0, 5*ms, 30*ms, time.Hour)
 		crowd := pickOne(w, 0.01, 0.2, 1, 3, -1, math.NaN())
-		w.b.Heard(now, w.rng.IntN(w.cfg.Balancers+1), News{At: at, Rate: pickOne(w, 1.0, 20, 300), Answers: float64(w.rng.IntN(20)), Crowd: crowd})
+		w.b.ReceiveGossip(now, w.rng.IntN(w.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(w, 1.0, 20, 300), Responses: float64(w.rng.IntN(20)), Congestion: crowd})
 	case 19:
 		id := RequestID(w.rng.Uint64N(uint64(w.next) + 2))
 		if w.oneIn(2) {
-			w.b.ClientGone(now, id)
+			w.b.ClientDisconnected(now, id)
 		} else {
-			w.b.StreamBegun(id)
+			w.b.StreamStarted(id)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	}
 	w.b = b
 	b.Start(host.now)
-	b.List(host.now, ListCached, []Server{w.entry(0, Ready), w.entry(1, Ready), w.entry(2, Ready), w.entry(3, Ready), w.entry(5, Ready)})
+	b.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{w.entry(0, Ready), w.entry(1, Ready), w.entry(2, Ready), w.entry(3, Ready), w.entry(5, Ready)})
 	for range 4000 {
 		w.step()
 	}
@@ -232,8 +232,8 @@
 		fmt.Fprintln(sum, line)
 	}
 	c := b.Counters()
-	fmt.Fprintln(sum, c.Ordinary, c.Walled, c.Held, c.Throttled, c.Crossed, c.Retries, c.Late, c.Queued, c.Told, c.Heard,
-		c.Unheard, c.Refused, c.Failed)
+	fmt.Fprintln(sum, c.RoundRobinSends, c.DivertedSends, c.ConcurrencyLimited, c.Shed, c.CrossZoneSends, c.Retries, c.ExpiredRetries, c.Queued, c.GossipSent, c.GossipReceived,
+		c.GossipDropped, c.Rejected, c.Failed)
 	return fmt.Sprintf("%016x", sum.Sum64()), len(host.lines)
 }
 
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -11,7 +11,7 @@
 // sent is one attempt that a test host was asked to start.
 type sent struct {
 	id      RequestID
-	to      ServerID
+	to      EndpointID
 	timeout time.Duration
 	within  time.Duration
 }
@@ -23,10 +23,10 @@
 	failed    map[RequestID]bool
 	cancelled []RequestID
 	wakes     []time.Duration
-	probes    []ServerID
-	closes    []ServerID
+	probes    []EndpointID
+	closes    []EndpointID
 	asks      int
-	tells     []News
+	tells     []GossipMessage
 	log       []string
 	trace     []string
 }
@@ -39,12 +39,12 @@
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
-func (h *fakeHost) Send(id RequestID, to ServerID, timeout, within time.Duration) {
+func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
 	h.sends = append(h.sends, sent{id, to, timeout, within})
 	h.note("send %d %d %v", id, to, timeout)
 }
 
-func (h *fakeHost) Refuse(id RequestID, pause time.Duration) {
+func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
 	h.refused[id] = pause
 	h.note("refuse %d %v", id, pause)
 }
@@ -59,27 +59,27 @@
 	h.note("cancel %d %d", id, attempt)
 }
 
-func (h *fakeHost) Wake(d time.Duration) {
+func (h *fakeHost) SetTimer(d time.Duration) {
 	h.wakes = append(h.wakes, d)
 	h.note("wake %v", d)
 }
 
-func (h *fakeHost) Probe(to ServerID) {
+func (h *fakeHost) HealthCheck(to EndpointID) {
 	h.probes = append(h.probes, to)
 	h.note("probe %d", to)
 }
 
-func (h *fakeHost) Close(to ServerID) {
+func (h *fakeHost) CloseIdle(to EndpointID) {
 	h.closes = append(h.closes, to)
 	h.note("close %d", to)
 }
 
-func (h *fakeHost) WatchList() {
+func (h *fakeHost) WatchEndpoints() {
 	h.asks++
 	h.note("watch")
 }
 
-func (h *fakeHost) Tell(n News) {
+func (h *fakeHost) Broadcast(n GossipMessage) {
 	h.tells = append(h.tells, n)
 	h.note("tell %+v", n)
 }
@@ -90,7 +90,7 @@
 }
 
 // sentTo counts the attempts sent to a server.
-func (h *fakeHost) sentTo(id ServerID) int {
+func (h *fakeHost) sentTo(id EndpointID) int {
 	n := 0
 	for _, s := range h.sends {
 		if s.to == id {
@@ -121,44 +121,44 @@
 )
 
 func testConfig() Config {
-	class := func(e Effect, s Scope) Class {
-		return Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Scope: s, Window: 700 * ms}
+	class := func(e Idempotency, s DedupScope) Class {
+		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: 700 * ms}
 	}
 	return Config{
 		Balancers: 2,
 		Classes: []Class{
-			class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone), class(Keyed, ScopeCell),
-			class(Unsafe, ScopeAll),
+			class(Idempotent, DedupEverywhere), class(IdempotentByKey, DedupEverywhere), class(IdempotentByKey, DedupInZone), class(IdempotentByKey, DedupInCell),
+			class(NonIdempotent, DedupEverywhere),
 		},
-		Tenants:       []Tenant{{Share: 0.75, Quota: 75}, {Share: 0.25, Quota: 25}},
-		Slots:         8,
-		MaxAttempts:   3,
-		MayCancel:     true,
-		MaxRetryAfter: time.Second,
-		Tick:          5 * ms,
-		AskWithin:     10 * time.Second,
-		ColdFrom:      0.3,
-		ColdTime:      8 * time.Second,
-		ColdMultiple:  3,
+		Tenants:           []Tenant{{Weight: 0.75, Quota: 75}, {Weight: 0.25, Quota: 25}},
+		Slots:             8,
+		MaxAttempts:       3,
+		CanCancel:         true,
+		MaxRetryAfter:     time.Second,
+		EventInterval:     5 * ms,
+		PollInterval:      10 * time.Second,
+		SlowStartFraction: 0.3,
+		SlowStartDuration: 8 * time.Second,
+		OverloadFactor:    3,
 	}
 }
 
-func ready(ids ...ServerID) []Server {
-	var list []Server
+func ready(ids ...EndpointID) []Endpoint {
+	var list []Endpoint
 	for _, id := range ids {
-		list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 	}
 	return list
 }
 
 // start makes a Balancer that holds a list of servers.
-func start(t testing.TB, cfg Config, list []Server) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
 }
 
 // startSeeded is start with a seed, for tests of many balancers.
-func startSeeded(t testing.TB, cfg Config, seed uint64, list []Server) (*Balancer, *fakeHost) {
+func startSeeded(t testing.TB, cfg Config, seed uint64, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
 	b, err := New(cfg, seed, h)
@@ -166,36 +166,36 @@
 		t.Fatalf("New: %v", err)
 	}
 	b.Start(0)
-	b.List(0, ListFull, list)
+	b.UpdateEndpoints(0, FullUpdate, list)
 	return b, h
 }
 
 // ask hands in a request of tenant 0.
 func ask(b *Balancer, now time.Duration, id RequestID, class int) {
-	b.Request(now, Request{ID: id, Class: class, Left: 2 * time.Second})
+	b.Request(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
 // end ends an attempt of a request.
-func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Ending) {
-	b.Outcome(now, Outcome{ID: id, Attempt: attempt, Ending: e, Settled: e == Served})
+func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Result) {
+	b.Outcome(now, Outcome{RequestID: id, Attempt: attempt, Result: e, Answered: e == Succeeded})
 }
 
 // forgetAsked has admission begin anew, where a test is not about it.
 func forgetAsked(b *Balancer) {
 	for i := range b.classes {
-		b.classes[i].asked = recent{}
+		b.classes[i].recent = recentRequests{}
 	}
 }
 
 // sizeConfig is like the settings of the days at size.
 func sizeConfig(balancers int) Config {
-	class := func(worth float64, e Effect) Class {
-		return Class{Aim: 500 * ms, Deadline: 2 * time.Second, Worth: worth, Effect: e, Window: 6 * time.Second}
+	class := func(worth float64, e Idempotency) Class {
+		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
 	}
 	return Config{
-		Balancers: balancers, Classes: []Class{class(1, Safe), class(8, Keyed)},
-		Tenants:     []Tenant{{Share: 0.42, Quota: 764}, {Share: 0.33, Quota: 600}, {Share: 0.25, Quota: 455}},
-		MaxAttempts: 6, MayCancel: true, MayTell: true, MaxRetryAfter: 2 * time.Second, MarksRepeat: true, Tick: ms,
-		AskList: true, AskWithin: 10 * time.Second, ColdFrom: 0.32, ColdTime: 8400 * ms, ColdMultiple: 4, CrossZonePrice: 0.12,
+		Balancers: balancers, Classes: []Class{class(1, Idempotent), class(8, IdempotentByKey)},
+		Tenants:     []Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
+		MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
+		PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
 	}
 }
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -19,137 +19,137 @@
 	crowdMost   = 4.0 // no answer counts for more: one that takes twice the aim
 )
 
-// News is what a balancer tells the others of the time since it last told.
-type News struct {
-	At      time.Duration // when it was told, on the clock that all share
-	Rate    float64       // requests a second it is asked
-	Answers float64       // attempts that ended and tell how crowded servers are
-	Crowd   float64       // mean square of the share of the aim that these took
+// GossipMessage is what a balancer tells the others of the time since it last told.
+type GossipMessage struct {
+	SentAt      time.Duration // when it was told, on the clock that all share
+	RequestRate float64       // requests a second it is asked
+	Responses   float64       // attempts that ended and tell how crowded servers are
+	Congestion  float64       // mean square of the share of the aim that these took
 }
 
 // peer is what another balancer last told of itself.
 type peer struct {
-	at   time.Duration
-	rate float64
+	sentAt      time.Duration
+	requestRate float64
 }
 
-// gossip is what a balancer knows of the fleet and is about to tell.
-type gossip struct {
-	peers      []peer // by their numbers
-	tellAt     time.Duration
-	quiet      int     // times in a row that there was nothing to tell
-	answers    float64 // since it was last told
-	crowd      float64 // sum over these
-	known      float64 // answers of all balancers lately, faded
-	knownCrowd float64 // sum over these
-	knownAt    time.Duration
+// gossipState is what a balancer knows of the fleet and is about to tell.
+type gossipState struct {
+	peers           []peer // by their numbers
+	nextBroadcast   time.Duration
+	emptyRounds     int     // times in a row that there was nothing to tell
+	ownResponses    float64 // since it was last told
+	ownCongestion   float64 // sum over these
+	fleetResponses  float64 // answers of all balancers lately, faded
+	fleetCongestion float64 // sum over these
+	decayedAt       time.Duration
 }
 
-// aims is a multiple of the mean aim as a time.
-func (b *Balancer) aims(n float64) time.Duration {
-	return time.Duration(n * b.aim * float64(time.Second))
+// objectives is a multiple of the mean aim as a time.
+func (b *Balancer) objectives(n float64) time.Duration {
+	return time.Duration(n * b.meanObjective * float64(time.Second))
 }
 
-// learn adds attempts that ended, its own or a peer's, to what is known of the fleet.
-func (b *Balancer) learn(now time.Duration, answers, crowd float64) {
-	fade := math.Exp(-float64(now-b.news.knownAt) / float64(b.aims(newsAims)))
-	b.news.knownAt = now
-	b.news.known = b.news.known*fade + answers
-	b.news.knownCrowd = b.news.knownCrowd*fade + answers*crowd
+// addSamples adds attempts that ended, its own or a peer's, to what is known of the fleet.
+func (b *Balancer) addSamples(now time.Duration, answers, crowd float64) {
+	fade := math.Exp(-float64(now-b.gossip.decayedAt) / float64(b.objectives(newsAims)))
+	b.gossip.decayedAt = now
+	b.gossip.fleetResponses = b.gossip.fleetResponses*fade + answers
+	b.gossip.fleetCongestion = b.gossip.fleetCongestion*fade + answers*crowd
 }
 
-// note takes one of its own attempts that tells how crowded servers are.
-func (b *Balancer) note(now time.Duration, crowd float64) {
-	if !b.cfg.MayTell {
+// recordSample takes one of its own attempts that tells how crowded servers are.
+func (b *Balancer) recordSample(now time.Duration, crowd float64) {
+	if !b.cfg.CanGossip {
 		return
 	}
 	crowd = min(crowd, crowdMost)
-	b.news.answers++
-	b.news.crowd += crowd
-	b.learn(now, 1, crowd)
+	b.gossip.ownResponses++
+	b.gossip.ownCongestion += crowd
+	b.addSamples(now, 1, crowd)
 }
 
-// tell tells the others what came since the last time, when it is due.
-func (b *Balancer) tell(now time.Duration) {
-	if !b.cfg.MayTell || b.cfg.Balancers < 2 || now < b.news.tellAt {
+// broadcast tells the others what came since the last time, when it is due.
+func (b *Balancer) broadcast(now time.Duration) {
+	if !b.cfg.CanGossip || b.cfg.Balancers < 2 || now < b.gossip.nextBroadcast {
 		return
 	}
-	b.news.tellAt = now + b.aims(tellAims*(0.75+0.5*b.rng.Float64())) // spread: not all at once
-	n := News{At: now, Rate: b.asks(now), Answers: b.news.answers}
-	if n.Answers > 0 {
-		n.Crowd = b.news.crowd / n.Answers
-	} else if b.news.quiet++; b.news.quiet%tellIdle != 1 {
+	b.gossip.nextBroadcast = now + b.objectives(tellAims*(0.75+0.5*b.rng.Float64())) // spread: not all at once
+	n := GossipMessage{SentAt: now, RequestRate: b.currentRate(now), Responses: b.gossip.ownResponses}
+	if n.Responses > 0 {
+		n.Congestion = b.gossip.ownCongestion / n.Responses
+	} else if b.gossip.emptyRounds++; b.gossip.emptyRounds%tellIdle != 1 {
 		return
 	}
-	if n.Answers > 0 {
-		b.news.quiet = 0
+	if n.Responses > 0 {
+		b.gossip.emptyRounds = 0
 	}
-	b.news.answers, b.news.crowd = 0, 0
-	b.count.Told++
-	b.host.Tell(n)
+	b.gossip.ownResponses, b.gossip.ownCongestion = 0, 0
+	b.count.GossipSent++
+	b.host.Broadcast(n)
 }
 
-// Heard takes news of the balancer of that number. What is stale, comes twice or out of order, or can't
+// ReceiveGossip takes news of the balancer of that number. What is stale, comes twice or out of order, or can't
 // be, is dropped and counted.
-func (b *Balancer) Heard(now time.Duration, from int, n News) {
+func (b *Balancer) ReceiveGossip(now time.Duration, from int, n GossipMessage) {
 	if !b.credible(now, from, n) {
-		b.count.Unheard++
+		b.count.GossipDropped++
 		return
 	}
-	b.count.Heard++
-	b.news.peers[from] = peer{n.At, n.Rate}
-	b.learn(now, n.Answers, n.Crowd)
+	b.count.GossipReceived++
+	b.gossip.peers[from] = peer{n.SentAt, n.RequestRate}
+	b.addSamples(now, n.Responses, n.Congestion)
 }
 
 // credible says whether news can be what a peer told just now.
-func (b *Balancer) credible(now time.Duration, from int, n News) bool {
+func (b *Balancer) credible(now time.Duration, from int, n GossipMessage) bool {
 	within := func(f, most float64) bool { return f >= 0 && f <= most }
-	return b.cfg.MayTell && from >= 0 && from < b.cfg.Balancers && from != b.cfg.Index &&
-		n.At <= now+newsAhead && now-n.At <= b.aims(newsLate) && n.At > b.news.peers[from].at &&
-		within(n.Rate, math.MaxUint32) && within(n.Answers, math.MaxUint16) && within(n.Crowd, crowdMost)
+	return b.cfg.CanGossip && from >= 0 && from < b.cfg.Balancers && from != b.cfg.Index &&
+		n.SentAt <= now+newsAhead && now-n.SentAt <= b.objectives(newsLate) && n.SentAt > b.gossip.peers[from].sentAt &&
+		within(n.RequestRate, math.MaxUint32) && within(n.Responses, math.MaxUint16) && within(n.Congestion, crowdMost)
 }
 
-// asks is how many requests a second come of late.
-func (b *Balancer) asks(now time.Duration) float64 {
-	return b.rate * math.Exp(-float64(now-b.rateAt)/float64(rateOver))
+// currentRate is how many requests a second come of late.
+func (b *Balancer) currentRate(now time.Duration) float64 {
+	return b.requestRate * math.Exp(-float64(now-b.requestRateAt)/float64(rateOver))
 }
 
-// crowding is how crowded servers are: as all balancers see it, where enough was told, else as it sees it
+// fleetCongestion is how crowded servers are: as all balancers see it, where enough was told, else as it sees it
 // itself. One of few requests would take one slow request of its own for a crowded fleet.
-func (b *Balancer) crowding(now time.Duration) float64 {
-	fade := math.Exp(-float64(now-b.news.knownAt) / float64(b.aims(newsAims)))
-	if b.count.Heard == 0 || b.news.known*fade < newsAnswers {
-		return b.crowd
+func (b *Balancer) fleetCongestion(now time.Duration) float64 {
+	fade := math.Exp(-float64(now-b.gossip.decayedAt) / float64(b.objectives(newsAims)))
+	if b.count.GossipReceived == 0 || b.gossip.fleetResponses*fade < newsAnswers {
+		return b.congestion
 	}
-	return b.news.knownCrowd / b.news.known
+	return b.gossip.fleetCongestion / b.gossip.fleetResponses
 }
 
-// share is this balancer's part of what all are asked, where peers tell; else an even one.
-func (b *Balancer) share(now time.Duration) float64 {
+// demandShare is this balancer's part of what all are asked, where peers tell; else an even one.
+func (b *Balancer) demandShare(now time.Duration) float64 {
 	even := b.quota / float64(b.cfg.Balancers)
-	if b.count.Heard == 0 || even == 0 {
+	if b.count.GossipReceived == 0 || even == 0 {
 		return 1 / float64(b.cfg.Balancers)
 	}
-	own := b.asks(now)
+	own := b.currentRate(now)
 	all := own
-	for i := range b.news.peers {
-		switch p := &b.news.peers[i]; {
+	for i := range b.gossip.peers {
+		switch p := &b.gossip.peers[i]; {
 		case i == b.cfg.Index:
-		case p.at == 0 || now-p.at > b.aims(newsFor):
+		case p.sentAt == 0 || now-p.sentAt > b.objectives(newsFor):
 			all += even // nothing is known of it
 		default:
-			all += p.rate
+			all += p.requestRate
 		}
 	}
 	return own / max(all, even)
 }
 
-// wall is how many attempts this balancer may have out: all its slots, less what crowding takes from the slots
+// concurrencyLimit is how many attempts this balancer may have out: all its slots, less what crowding takes from the slots
 // of all. What is left of those is shared by what each is asked, and everyone has one.
-func (b *Balancer) wall(now time.Duration) float64 {
-	ease := b.ease(b.crowding(now) / wholeLater)
-	if b.count.Heard == 0 {
+func (b *Balancer) concurrencyLimit(now time.Duration) float64 {
+	ease := b.limitFraction(b.fleetCongestion(now) / wholeLater)
+	if b.count.GossipReceived == 0 {
 		return max(1, float64(b.slots)*ease)
 	}
-	return max(1, min(float64(b.slots), float64(b.slots*b.cfg.Balancers)*ease*b.share(now)))
+	return max(1, min(float64(b.slots), float64(b.slots*b.cfg.Balancers)*ease*b.demandShare(now)))
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -8,55 +8,55 @@
 
 func newsConfig() Config {
 	cfg := testConfig()
-	cfg.Balancers, cfg.MayTell = 4, true
+	cfg.Balancers, cfg.CanGossip = 4, true
 	return cfg
 }
 
 func TestNewsThatCannotBeIsDropped(t *testing.T) {
 	b, _ := start(t, newsConfig(), ready(1, 2))
 	now := time.Hour
-	good := News{At: now, Rate: 10, Answers: 5, Crowd: 0.1}
-	for name, try := range map[string]func(n *News) int{
-		"its own":       func(*News) int { return 0 },
-		"no such peer":  func(*News) int { return 4 },
-		"a negative":    func(*News) int { return -1 },
-		"stale":         func(n *News) int { n.At -= 3 * time.Second; return 1 },
-		"of the future": func(n *News) int { n.At += time.Second; return 1 },
-		"no rate":       func(n *News) int { n.Rate = math.NaN(); return 1 },
-		"boundless":     func(n *News) int { n.Rate = math.Inf(1); return 1 },
-		"less than 0":   func(n *News) int { n.Answers = -1; return 1 },
-		"crowd":         func(n *News) int { n.Crowd = 1e6; return 1 },
+	good := GossipMessage{SentAt: now, RequestRate: 10, Responses: 5, Congestion: 0.1}
+	for name, try := range map[string]func(n *GossipMessage) int{
+		"its own":       func(*GossipMessage) int { return 0 },
+		"no such peer":  func(*GossipMessage) int { return 4 },
+		"a negative":    func(*GossipMessage) int { return -1 },
+		"stale":         func(n *GossipMessage) int { n.SentAt -= 3 * time.Second; return 1 },
+		"of the future": func(n *GossipMessage) int { n.SentAt += time.Second; return 1 },
+		"no rate":       func(n *GossipMessage) int { n.RequestRate = math.NaN(); return 1 },
+		"boundless":     func(n *GossipMessage) int { n.RequestRate = math.Inf(1); return 1 },
+		"less than 0":   func(n *GossipMessage) int { n.Responses = -1; return 1 },
+		"crowd":         func(n *GossipMessage) int { n.Congestion = 1e6; return 1 },
 	} {
 		n := good
 		from := try(&n)
 		before := b.Counters()
-		if b.Heard(now, from, n); b.Counters().Unheard != before.Unheard+1 || b.Counters().Heard != before.Heard {
+		if b.ReceiveGossip(now, from, n); b.Counters().GossipDropped != before.GossipDropped+1 || b.Counters().GossipReceived != before.GossipReceived {
 			t.Errorf("%s: not dropped and counted", name)
 		}
 	}
-	b.Heard(now, 1, good)
-	b.Heard(now, 1, good) // twice
+	b.ReceiveGossip(now, 1, good)
+	b.ReceiveGossip(now, 1, good) // twice
 	older := good
-	older.At -= ms
-	b.Heard(now, 1, older) // overtaken
-	if c := b.Counters(); c.Heard != 1 {
-		t.Errorf("%d taken, want one", c.Heard)
+	older.SentAt -= ms
+	b.ReceiveGossip(now, 1, older) // overtaken
+	if c := b.Counters(); c.GossipReceived != 1 {
+		t.Errorf("%d taken, want one", c.GossipReceived)
 	}
 }
 
 // Guards against one slow answer of its own closing the walls of a balancer of few requests.
 func TestFleetTellsHowCrowdedServersAre(t *testing.T) {
 	b, _ := start(t, newsConfig(), ready(1, 2))
-	b.crowd = 4
-	alone := b.wall(time.Hour)
+	b.congestion = 4
+	alone := b.concurrencyLimit(time.Hour)
 	for i := 1; i < 4; i++ {
-		b.Heard(time.Hour, i, News{At: time.Hour, Rate: 25, Answers: 20, Crowd: 0.01})
+		b.ReceiveGossip(time.Hour, i, GossipMessage{SentAt: time.Hour, RequestRate: 25, Responses: 20, Congestion: 0.01})
 	}
-	b.rate, b.rateAt = 25, time.Hour
-	if told := b.wall(time.Hour); alone != 1 || told != float64(b.slots) {
+	b.requestRate, b.requestRateAt = 25, time.Hour
+	if told := b.concurrencyLimit(time.Hour); alone != 1 || told != float64(b.slots) {
 		t.Fatalf("wall at %v alone and %v once told, want 1 and all %d slots", alone, told, b.slots)
 	}
-	if later := b.wall(time.Hour + time.Minute); later != 1 {
+	if later := b.concurrencyLimit(time.Hour + time.Minute); later != 1 {
 		t.Fatalf("wall at %v, want its own measure again once news is old", later)
 	}
 }
@@ -66,10 +66,10 @@
 	wall := func(own, others float64) float64 {
 		b, _ := start(t, newsConfig(), ready(1, 2))
 		for i := 1; i < 4; i++ {
-			b.Heard(time.Hour, i, News{At: time.Hour, Rate: others, Answers: 20, Crowd: 0.1})
+			b.ReceiveGossip(time.Hour, i, GossipMessage{SentAt: time.Hour, RequestRate: others, Responses: 20, Congestion: 0.1})
 		}
-		b.rate, b.rateAt = own, time.Hour
-		return b.wall(time.Hour)
+		b.requestRate, b.requestRateAt = own, time.Hour
+		return b.concurrencyLimit(time.Hour)
 	}
 	if busy, idle := wall(90, 3), wall(1, 33); busy < 3*idle || idle != 1 {
 		t.Fatalf("walls of %v for one with most of the requests and %v for one with few", busy, idle)
@@ -81,7 +81,7 @@
 	b, h := start(t, newsConfig(), ready(1, 2))
 	now := time.Duration(0)
 	for ; now < 20*time.Second; now += 20 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if n := len(h.tells); n == 0 || n > 8 {
 		t.Fatalf("told %d times in 20 s with nothing to tell", n)
@@ -89,26 +89,26 @@
 	h.tells = nil
 	for i := range RequestID(10) {
 		ask(b, now, i, safeClass)
-		end(b, now+100*ms, i, 0, Served)
+		end(b, now+100*ms, i, 0, Succeeded)
 		now += 200 * ms
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	for end := now + 2*time.Second; now < end; now += 20 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	answers, worst := 0.0, 0.0
 	for _, n := range h.tells {
-		answers += n.Answers
-		worst = max(worst, n.Crowd)
+		answers += n.Responses
+		worst = max(worst, n.Congestion)
 	}
 	if answers != 10 || math.Abs(worst-0.01) > 1e-9 {
 		t.Fatalf("told of %v answers, crowded %v; want each of 10 once, which took a tenth of the aim", answers, worst)
 	}
 	cfg := newsConfig()
-	cfg.MayTell = false
+	cfg.CanGossip = false
 	b, h = start(t, cfg, ready(1, 2))
 	for now := time.Duration(0); now < 20*time.Second; now += 20 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if len(h.tells) > 0 {
 		t.Fatal("told where it may not")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -53,57 +53,58 @@
 
 // New makes a Balancer, or returns an error that names the unusable field.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
-	if err := check(cfg); err != nil {
+	if err := validate(cfg); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request), lines: make(map[uint64]*line)}
-	b.parts = make([]compartment, len(cfg.tenants()))
-	b.news.peers = make([]peer, cfg.Balancers)
+	b := &Balancer{cfg: cfg, host: host, requests: make(map[RequestID]*request),
+		keyQueues: make(map[uint64]*keyQueue)}
+	b.bulkheads = make([]bulkhead, len(cfg.tenants()))
+	b.gossip.peers = make([]peer, cfg.Balancers)
 	b.rng = rand.New(rand.NewPCG(seed, 0))
-	b.pace, b.every = cfg.Classes[0].Aim/8, turnEvery.Seconds()
+	b.meanLatency, b.turnInterval = cfg.Classes[0].LatencyObjective/8, turnEvery.Seconds()
 	for _, c := range cfg.Classes {
-		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
-		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
-		b.pace, b.longest = min(b.pace, c.Aim/8), max(b.longest, c.Deadline)
+		b.classes = append(b.classes, class{Class: c, meanLatency: c.LatencyObjective / 8})
+		b.meanObjective += c.LatencyObjective.Seconds() / float64(len(cfg.Classes))
+		b.meanLatency, b.maxDeadline = min(b.meanLatency, c.LatencyObjective/8), max(b.maxDeadline, c.Deadline)
 	}
-	b.deriveSlots()
+	b.sizeBulkheads()
 	return b, nil
 }
 
-// deriveSlots sizes the walls, once. By Little's law a rate holds rate x time slots: the quotas
+// sizeBulkheads sizes the walls, once. By Little's law a rate holds rate x time slots: the quotas
 // times a small share of the aim, to leave most of it for what goes wrong. Each balancer gets
 // what the largest of n random parts of the traffic comes to, ln n + 0.58 even ones, and two
 // standard deviations of such a count, so as not to refuse on chance.
-func (b *Balancer) deriveSlots() {
+func (b *Balancer) sizeBulkheads() {
 	tenants, shares := b.cfg.tenants(), 0.0
 	for _, t := range tenants {
-		shares += t.Share
+		shares += t.Weight
 		b.quota += t.Quota
 	}
-	b.mean = cmp.Or(b.quota*b.aim*slotAim, serverSlots*float64(len(b.servers)))
-	b.rate = cmp.Or(b.quota/float64(b.cfg.Balancers), float64(len(b.servers))/b.every)
+	b.fleetConcurrency = cmp.Or(b.quota*b.meanObjective*slotAim, serverSlots*float64(len(b.endpoints)))
+	b.requestRate = cmp.Or(b.quota/float64(b.cfg.Balancers), float64(len(b.endpoints))/b.turnInterval)
 	n := float64(b.cfg.Balancers)
-	total, room := b.mean*min(1, (math.Log(n)+0.58)/n), spread
+	total, room := b.fleetConcurrency*min(1, (math.Log(n)+0.58)/n), spread
 	if b.cfg.Slots > 0 {
 		total, room = float64(b.cfg.Slots), 0
 	}
 	b.slots = 0
 	for i, t := range tenants {
-		c, mean := &b.parts[i], total*t.Share/shares
+		c, mean := &b.bulkheads[i], total*t.Weight/shares
 		c.slots = max(1, int(math.Ceil(mean+room*math.Sqrt(mean))))
-		c.places = int(math.Ceil(float64(c.slots) * placesShare))
+		c.queueCapacity = int(math.Ceil(float64(c.slots) * placesShare))
 		b.slots += c.slots
 	}
 }
 
 // Start begins the Balancer's life; it must be the first event.
 func (b *Balancer) Start(now time.Duration) {
-	if b.cfg.AskList {
-		b.ask(now)
+	if b.cfg.PollsEndpoints {
+		b.poll(now)
 	}
-	b.sampleAt = now + time.Duration(b.rng.Int64N(int64(4*toldFor))) // not all balancers at once
-	b.news.tellAt = now + b.aims(tellAims*b.rng.Float64())
-	b.wake(now, idleTick)
+	b.nextSampleAt = now + time.Duration(b.rng.Int64N(int64(4*toldFor))) // not all balancers at once
+	b.gossip.nextBroadcast = now + b.objectives(tellAims*b.rng.Float64())
+	b.setTimer(now, idleTick)
 }
 
 // Request takes a request on. It is answered once, by an Outcome that settles it or through the
@@ -112,41 +113,43 @@
 	if _, held := b.requests[q.ID]; held {
 		return
 	}
-	b.tally(now)
-	if !b.known(&q) {
-		b.count.Refused++
-		b.host.Refuse(q.ID, 0)
+	b.countRequest(now)
+	if !b.usable(&q) {
+		b.count.Rejected++
+		b.host.Reject(q.ID, 0)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant]}
-	r.deadline = now + min(q.Left, time.Hour)
-	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.Aim)
-	if r.first, r.key = now, q.Key; q.Repeat && q.Key != 0 {
-		r.first = b.firstTry(now, r)
+	r := &request{id: q.ID, class: &b.classes[q.Class], bulkhead: &b.bulkheads[q.Tenant]}
+	r.deadline = now + min(q.Timeout, time.Hour)
+	r.usefulUntil, r.objectiveAt = r.deadline, min(r.deadline, now+r.class.LatencyObjective)
+	if r.clientStartedAt, r.key = now, q.Key; q.ClientRetry && q.Key != 0 {
+		r.clientStartedAt = b.clientStart(now, r)
 	}
-	if stretch := r.class.AimStretch; r.class.LateShare == 0 && (stretch == 0 || q.Work > 0) {
+	if stretch := r.class.ObjectivePerWork; r.class.LateValue == 0 && (stretch == 0 || q.ExpectedWork > 0) {
 		// a later try has less time left, or waits less for good
-		r.class.longest = max(q.Left, r.class.longest-(r.class.longest-q.Left)/64)
-		if (q.Repeat || !b.cfg.MarksRepeat) && q.Left < r.class.longest-2*busyTick {
-			r.first = min(r.first, r.deadline-r.class.Deadline)
+		r.class.maxTimeout = max(q.Timeout, r.class.maxTimeout-(r.class.maxTimeout-q.Timeout)/64)
+		if (q.ClientRetry || !b.cfg.ClientsMarkRetries) && q.Timeout < r.class.maxTimeout-2*busyTick {
+			r.clientStartedAt = min(r.clientStartedAt, r.deadline-r.class.Deadline)
 		}
-		r.useful = min(r.deadline, r.first+r.class.Aim+time.Duration(stretch*float64(q.Work)))
+		r.usefulUntil = min(r.deadline,
+			r.clientStartedAt+r.class.LatencyObjective+time.Duration(stretch*float64(q.ExpectedWork)))
 	}
-	if r.class.InOrder && q.Key != 0 {
-		b.join(now, r, q.Key)
+	if r.class.OrderedByKey && q.Key != 0 {
+		b.enqueueForKey(now, r, q.Key)
 	}
 	b.requests[r.id] = r
-	b.open = append(b.open, r)
-	b.wake(now, busyTick)
-	b.rate = b.rate*math.Exp(-float64(now-b.rateAt)/float64(rateOver)) + 1/rateOver.Seconds()
-	b.rateAt = now
-	if want := max(fewest, b.rate*b.every); want > 1.25*b.wanted || want < 0.75*b.wanted {
-		b.cut()
-	}
-	if now <= r.lateIn() && !b.admit(now, r) { // a late one asks for nothing that was earned by others
-		r.class.asked.all++
-		b.count.Throttled++
-		b.finish(now, r)
+	b.openRequests = append(b.openRequests, r)
+	b.setTimer(now, busyTick)
+	b.requestRate = b.requestRate*math.Exp(-float64(now-b.requestRateAt)/float64(rateOver)) +
+		1/rateOver.Seconds()
+	b.requestRateAt = now
+	if want := max(fewest, b.requestRate*b.turnInterval); want > 1.25*b.subsetSize || want < 0.75*b.subsetSize {
+		b.selectSubset()
+	}
+	if now <= r.latestStart() && !b.admit(now, r) { // a late one asks for nothing that was earned by others
+		r.class.recent.offered++
+		b.count.Shed++
+		b.giveUp(now, r)
 		return
 	}
 	b.place(now, r)
@@ -159,18 +162,18 @@
 // that for the next. So whatever is let in and answered widens the room, and classes that were shut
 // out come back by themselves once servers can bear them, however often their clients ask meanwhile.
 func (b *Balancer) admit(now time.Duration, r *request) bool {
-	fade := math.Exp(-(now - b.fadeAt).Seconds() / (admitOver * b.aim))
-	b.fadeAt = now
+	fade := math.Exp(-(now - b.admissionDecayedAt).Seconds() / (admitOver * b.meanObjective))
+	b.admissionDecayedAt = now
 	left, same := admitFree, 0.0
 	for i := range b.classes {
 		c := &b.classes[i]
-		c.asked.all, c.asked.good = c.asked.all*fade, c.asked.good*fade
-		left += admitMost * c.asked.good
+		c.recent.offered, c.recent.goodput = c.recent.offered*fade, c.recent.goodput*fade
+		left += admitMost * c.recent.goodput
 		switch {
-		case c.Worth > r.class.Worth:
-			left -= c.asked.all
-		case c.Worth == r.class.Worth:
-			same += c.asked.all
+		case c.PriorityWeight > r.class.PriorityWeight:
+			left -= c.recent.offered
+		case c.PriorityWeight == r.class.PriorityWeight:
+			same += c.recent.offered
 		}
 	}
 	share := left / (same + 1) // with this one
@@ -179,14 +182,14 @@
 
 // place sends a request, or lets it wait, or refuses it.
 func (b *Balancer) place(now time.Duration, r *request) {
-	if b.inquire(now, r) {
+	if b.awaitReport(now, r) {
 		return
 	}
-	if now > r.lateIn() { // late, or as good as: it takes nothing from others
-		r.useful = r.deadline
-		if b.ease(b.crowding(now)) < 1 || !b.dispatch(now, r) {
-			b.count.Late++
-			b.finish(now, r)
+	if now > r.latestStart() { // late, or as good as: it takes nothing from others
+		r.usefulUntil = r.deadline
+		if b.limitFraction(b.fleetCongestion(now)) < 1 || !b.dispatch(now, r) {
+			b.count.ExpiredRetries++
+			b.giveUp(now, r)
 		}
 		return
 	}
@@ -199,18 +202,18 @@
 // enqueue has a request wait in its compartment, behind those at least as worthy. In a full queue the least
 // worthy one gives up its place: someone is refused promptly either way.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
-	c := r.home
-	if len(c.queue) >= c.places {
-		if last := c.queue[len(c.queue)-1]; last.class.Worth < r.class.Worth {
-			b.finish(now, last) // which takes it out of the queue
+	c := r.bulkhead
+	if len(c.queue) >= c.queueCapacity {
+		if last := c.queue[len(c.queue)-1]; last.class.PriorityWeight < r.class.PriorityWeight {
+			b.giveUp(now, last) // which takes it out of the queue
 		} else {
-			b.finish(now, r)
+			b.giveUp(now, r)
 			return
 		}
 	}
 	b.count.Queued++
 	at := len(c.queue)
-	for at > 0 && c.queue[at-1].class.Worth < r.class.Worth {
+	for at > 0 && c.queue[at-1].class.PriorityWeight < r.class.PriorityWeight {
 		at--
 	}
 	c.queue = slices.Insert(c.queue, at, r)
@@ -218,129 +221,133 @@
 
 // Outcome takes the end of an attempt. What is unknown or came before is passed over.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
+	r := b.requests[o.RequestID]
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) ||
+		r.attempts[o.Attempt].state != attemptInFlight {
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.state = mayHaveRun
-	if o.Ending == TurnedAway || o.Ending == NoConnection || o.Ending == NotSent {
-		a.state = neverRan
+	a.state = attemptMayHaveRun
+	if o.Result == Rejected || o.Result == ConnectFailed || o.Result == NotSent {
+		a.state = attemptNeverRan
 	}
-	b.hold(r, a.to, -1)
-	if !r.over && o.Ending != NotSent {
-		r.class.asked.all++
+	b.countAttempt(r, a.endpoint, -1)
+	if !r.closed && o.Result != NotSent {
+		r.class.recent.offered++
 	}
-	if !r.over && o.Ending == Served && now <= r.wanted {
-		r.class.asked.good += min(1, 2*float64(r.wanted-now)/float64(r.class.Aim))
+	if !r.closed && o.Result == Succeeded && now <= r.objectiveAt {
+		r.class.recent.goodput += min(1, 2*float64(r.objectiveAt-now)/float64(r.class.LatencyObjective))
 	}
-	if r.line != nil && (o.Ending == TimedOut || o.Ending == Broken || o.Ending == Cancelled) {
-		r.line.restEnd = max(r.line.restEnd, now+b.cfg.OrderSettle)
+	if r.keyQueue != nil && (o.Result == TimedOut || o.Result == ConnectionLost || o.Result == Cancelled) {
+		r.keyQueue.blockedUntil = max(r.keyQueue.blockedUntil, now+b.cfg.OrderingDelay)
 	}
-	if a.to.State != Ready {
-		b.close(now, a.to)
+	if a.endpoint.State != Ready {
+		b.closeIdle(now, a.endpoint)
 	}
-	b.judge(now, r, a, o.Ending)
+	b.recordOutcome(now, r, a, o.Result)
 	switch {
-	case r.over && r.out == 0:
+	case r.closed && r.inFlight == 0:
 		b.forget(r)
-	case !r.over && (o.Settled || o.Ending == Served || r.begun):
-		b.settle(r)
-	case !r.over && r.out == 0:
-		b.further(now, r)
+	case !r.closed && (o.Answered || o.Result == Succeeded || r.streaming):
+		b.closeRequest(r)
+	case !r.closed && r.inFlight == 0:
+		b.retry(now, r)
 	}
-	b.feed(now)
+	b.serveQueues(now)
 }
 
-// Wake takes that a time asked for with Host.Wake has come.
-func (b *Balancer) Wake(now time.Duration) {
-	if now < b.wakeAt {
+// TimerFired takes that a time asked for with Host.SetTimer has come.
+func (b *Balancer) TimerFired(now time.Duration) {
+	if now < b.timerAt {
 		return // an older timer
 	}
-	if b.cfg.AskList && b.askAt > 0 && now >= b.askAt {
-		b.ask(now)
+	if b.cfg.PollsEndpoints && b.pollAt > 0 && now >= b.pollAt {
+		b.poll(now)
 	}
-	if b.closeAt > 0 && now >= b.closeAt {
-		b.closeAt = 0
-		for _, s := range b.servers {
+	if b.closeIdleAt > 0 && now >= b.closeIdleAt {
+		b.closeIdleAt = 0
+		for _, s := range b.endpoints {
 			if s.State == Draining {
-				b.host.Close(s.ID)
+				b.host.CloseIdle(s.ID)
 			}
 		}
 	}
-	b.feed(now)
-	for _, r := range b.open {
-		if r.asks != nil && !r.over && now >= r.asksUntil {
-			r.asks.toldAt, r.asks.others = now, math.Inf(1) // it cannot even tell
-			r.asks = nil
+	b.serveQueues(now)
+	for _, r := range b.openRequests {
+		if r.awaitedReport != nil && !r.closed && now >= r.reportDeadline {
+			r.awaitedReport.reportedAt, r.awaitedReport.othersInFlight = now, math.Inf(1) // it cannot even tell
+			r.awaitedReport = nil
 			b.place(now, r)
 		}
-		ends := now+2*max(busyTick, b.cfg.Tick) > r.deadline || now >= r.lateIn()
-		waited := r.out == 0 && (ends || !r.mayRepeat(now, nil))
-		if !r.begun && (waited || now >= r.deadline) {
-			b.finish(now, r)
+		ends := now+2*max(busyTick, b.cfg.EventInterval) > r.deadline || now >= r.latestStart()
+		waited := r.inFlight == 0 && (ends || !r.mayRetry(now, nil))
+		if !r.streaming && (waited || now >= r.deadline) {
+			b.giveUp(now, r)
 		}
 	}
-	b.open = slices.DeleteFunc(b.open, func(r *request) bool { return r.over })
-	b.wakeAt = 0
-	b.sample(now)
-	b.tell(now)
-	if len(b.open) > 0 {
-		b.wake(now, busyTick)
+	b.openRequests = slices.DeleteFunc(b.openRequests, func(r *request) bool { return r.closed })
+	b.timerAt = 0
+	b.sampleReports(now)
+	b.broadcast(now)
+	if len(b.openRequests) > 0 {
+		b.setTimer(now, busyTick)
 	}
-	b.wake(now, idleTick)
-	if b.closeAt > 0 {
-		b.wake(now, b.closeAt-now)
+	b.setTimer(now, idleTick)
+	if b.closeIdleAt > 0 {
+		b.setTimer(now, b.closeIdleAt-now)
 	}
 }
 
-// lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration { return r.useful - min(2*r.class.pace, r.class.Aim/2) }
+// latestStart is when a wait stops being worth it: servers would work for answers that come late.
+func (r *request) latestStart() time.Duration {
+	return r.usefulUntil - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
+}
 
 // dispatch sends a request if a slot of its compartment and a server are free.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if r.home.used >= r.home.slots {
+	if r.bulkhead.used >= r.bulkhead.slots {
 		return false
 	}
 	// The wall over all attempts: one each from many balancers is a crowd too. It comes later than servers' own.
-	if float64(b.out) >= b.wall(now) {
-		b.count.Held++
+	if float64(b.inFlight) >= b.concurrencyLimit(now) {
+		b.count.ConcurrencyLimited++
 		return false
 	}
 	s := b.pick(now, r)
 	return s != nil && b.send(now, r, s)
 }
 
-// further gives a request whose attempts have all failed another one, or ends it.
-func (b *Balancer) further(now time.Duration, r *request) {
-	if len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRepeat(now, nil) || now >= r.lateIn() || b.spent(now) {
-		b.finish(now, r)
+// retry gives a request whose attempts have all failed another one, or ends it.
+func (b *Balancer) retry(now time.Duration, r *request) {
+	if len(r.attempts) >= b.cfg.MaxAttempts || !r.mayRetry(now, nil) || now >= r.latestStart() ||
+		b.retryBudgetExhausted(now) {
+		b.giveUp(now, r)
 		return
 	}
 	if !b.dispatch(now, r) {
-		r.home.queue = slices.Insert(r.home.queue, 0, r) // it has waited already: to the front
+		r.bulkhead.queue = slices.Insert(r.bulkhead.queue, 0, r) // it has waited already: to the front
 	}
 }
 
-// feed gives free slots to what waits: the worthiest first, one compartment after the other.
-func (b *Balancer) feed(now time.Duration) {
-	b.feedFrom = (b.feedFrom + 1) % len(b.parts)
+// serveQueues gives free slots to what waits: the worthiest first, one compartment after the other.
+func (b *Balancer) serveQueues(now time.Duration) {
+	b.firstBulkhead = (b.firstBulkhead + 1) % len(b.bulkheads)
 	for worth := math.Inf(1); worth >= 0; {
 		next := -1.0
-		for i := range b.parts {
-			c := &b.parts[(b.feedFrom+i)%len(b.parts)]
+		for i := range b.bulkheads {
+			c := &b.bulkheads[(b.firstBulkhead+i)%len(b.bulkheads)]
 			for n := 0; n < len(c.queue) && c.used < c.slots; {
 				switch r := c.queue[n]; {
-				case r.class.Worth > worth:
+				case r.class.PriorityWeight > worth:
 					n++ // it was looked at
-				case r.class.Worth < worth:
-					next = max(next, r.class.Worth)
+				case r.class.PriorityWeight < worth:
+					next = max(next, r.class.PriorityWeight)
 					n = len(c.queue)
-				case now >= r.lateIn():
-					b.finish(now, r) // which takes it out of the queue
+				case now >= r.latestStart():
+					b.giveUp(now, r) // which takes it out of the queue
 				case b.dispatch(now, r):
 					c.queue = slices.Delete(c.queue, n, n+1)
-				case len(r.attempts) == 0 && r.inTurn(now):
+				case len(r.attempts) == 0 && r.firstOfKey(now):
 					n = len(c.queue) // it could go anywhere, so nothing behind it can go
 				default:
 					n++ // bound to where it has been, or behind its key: others may go
@@ -351,395 +358,376 @@
 	}
 }
 
-// mayRepeat says whether the class allows an attempt now, on a server or (nil)
-// on some server: what may have run must be dropped there if it comes again.
-func (r *request) mayRepeat(now time.Duration, s *server) bool {
-	first := r.ran()
+// eligible is the gate: whether the rules let a request go to a server now.
+func (b *Balancer) eligible(now time.Duration, r *request, s *endpoint) bool {
 	switch {
-	case first == nil || r.class.Effect == Safe:
-		return true
-	case r.class.Effect == Unsafe || now >= first.sent+r.class.Window:
-		return false
-	case s == nil || r.class.Scope == ScopeAll:
-		return true
-	}
-	return s.Zone == first.zone && (r.class.Scope == ScopeZone || s.Cell == first.cell)
-}
-
-// mayGo is the gate: whether the rules let a request go to a server now.
-func (b *Balancer) mayGo(now time.Duration, r *request, s *server) bool {
-	switch {
-	case r.over || r.begun || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
+	case r.closed || r.streaming || now >= r.deadline || len(r.attempts) >= b.cfg.MaxAttempts:
 		return false // rule 1, and the limit on attempts
 	case s.State != Ready:
 		return false // rule 3: at once, long before the grace is over
-	case now < s.warmAt && now < s.coldAt:
+	case now < s.slowStartUntil && now < s.nextSlowStartSend:
 		return false // rule 4
-	case r.out > 0 || !r.mayRepeat(now, s):
+	case r.inFlight > 0 || !r.mayRetry(now, s):
 		return false // rule 2: one attempt at a time (no second copies), and only where it may be repeated
-	case !r.inTurn(now):
+	case !r.firstOfKey(now):
 		return false // rule 5
-	case len(r.attempts) > 0 && b.spent(now):
+	case len(r.attempts) > 0 && b.retryBudgetExhausted(now):
 		return false // rule 6
 	}
 	return true
 }
 
-// inTurn says whether a request is the first of its key, and no earlier attempt may still run.
-func (r *request) inTurn(now time.Duration) bool {
-	return r.line == nil || r.line.waiting[0] == r && (len(r.attempts) > 0 || now >= r.line.restEnd)
-}
-
-// spent says whether the budget has no further attempt left. A request taken just a span ago no
+// retryBudgetExhausted says whether the budget has no further attempt left. A request taken just a
+// span ago no
 // longer counts, an attempt made just then still does.
-func (b *Balancer) spent(now time.Duration) bool {
-	if b.cfg.Budget.Span == 0 {
+func (b *Balancer) retryBudgetExhausted(now time.Duration) bool {
+	if b.cfg.RetryBudget.Interval == 0 {
 		return false
 	}
-	from := now - b.cfg.Budget.Span
-	allowed := b.cfg.Budget.Free + b.cfg.Budget.Share*float64(b.taken.since(from+1))
-	return float64(b.more.since(from)+1) > allowed
+	from := now - b.cfg.RetryBudget.Interval
+	allowed := b.cfg.RetryBudget.MinRetries +
+		b.cfg.RetryBudget.RetryRatio*float64(b.budgetRequests.countSince(from+1))
+	return float64(b.budgetRetries.countSince(from)+1) > allowed
 }
 
-// close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
-func (b *Balancer) close(now time.Duration, s *server) {
-	if b.cfg.CloseWithin > 0 {
-		b.host.Close(s.ID)
-		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.CloseWithin/2)
-		b.wake(now, b.closeAt-now)
+// closeIdle closes idle connections to a server that drains (rule 7): now and, as one may be
+// opening, once more.
+func (b *Balancer) closeIdle(now time.Duration, s *endpoint) {
+	if b.cfg.DrainCloseTimeout > 0 {
+		b.host.CloseIdle(s.ID)
+		b.closeIdleAt = cmp.Or(b.closeIdleAt, now+b.cfg.DrainCloseTimeout/2)
+		b.setTimer(now, b.closeIdleAt-now)
 	}
 }
 
 // send is the one place that sends.
-func (b *Balancer) send(now time.Duration, r *request, s *server) bool {
-	if !b.mayGo(now, r, s) {
+func (b *Balancer) send(now time.Duration, r *request, s *endpoint) bool {
+	if !b.eligible(now, r, s) {
 		return false
 	}
-	s.coldAt = now + b.coldGap(now, s)
-	r.attempts = append(r.attempts, attempt{to: s, zone: s.Zone, cell: s.Cell, sent: now})
-	b.hold(r, s, 1)
+	s.nextSlowStartSend = now + b.slowStartInterval(now, s)
+	r.attempts = append(r.attempts, attempt{endpoint: s, zone: s.Zone, cell: s.Cell, sentAt: now})
+	b.countAttempt(r, s, 1)
 	if len(r.attempts) > 1 {
 		b.count.Retries++
-		b.more = append(b.more, now)
+		b.budgetRetries = append(b.budgetRetries, now)
 	}
-	if b.far(s) {
-		b.count.Crossed++
+	if b.crossesZone(s) {
+		b.count.CrossZoneSends++
 	}
-	b.host.Send(r.id, s.ID, r.useful-now, r.window())
+	b.host.Send(r.id, s.ID, r.usefulUntil-now, r.dedupRemaining())
 	return true
 }
 
-// coldGap spaces sends to a cold server so that all balancers together stay
+// slowStartInterval spaces sends to a cold server so that all balancers together stay
 // well within its budget: each keeps an even part, whatever traffic it has.
-func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
-	rate := cmp.Or(b.quota/float64(b.cfg.Balancers), float64(max(b.out, 1))/b.pace.Seconds())
-	rate = b.part(rate, s) * b.weight / max(b.reach, s.Weight) * b.warmth(now, s)
-	return time.Duration(float64(time.Second) / max(rate*coldPart*max(b.cfg.ColdMultiple, 1), 0.01))
+func (b *Balancer) slowStartInterval(now time.Duration, s *endpoint) time.Duration {
+	rate := cmp.Or(b.quota/float64(b.cfg.Balancers), float64(max(b.inFlight, 1))/b.meanLatency.Seconds())
+	rate = b.proportion(rate, s) * b.readyWeight / max(b.subsetWeight, s.Weight) * b.capacityFraction(now, s)
+	return time.Duration(float64(time.Second) / max(rate*coldPart*max(b.cfg.OverloadFactor, 1), 0.01))
 }
 
-// warmth is the share of its capacity that a server has at least.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
-	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.ColdTime))
-	return max(0.05, 1-left*(1-b.cfg.ColdFrom))
+// capacityFraction is the share of its capacity that a server has at least.
+func (b *Balancer) capacityFraction(now time.Duration, s *endpoint) float64 {
+	left := float64(max(0, s.slowStartUntil-now)) / float64(max(1, b.cfg.SlowStartDuration))
+	return max(0.05, 1-left*(1-b.cfg.SlowStartFraction))
 }
 
 // pick is smooth weighted round robin over the ready servers: each is due again one over its
 // weight after its last turn, and the one due first has its turn. It loses it while it holds its
 // portion of our attempts, or if the request has been there already.
-func (b *Balancer) pick(now time.Duration, r *request) *server {
-	best, walled := b.turnOf(now, r, b.arc)
-	if best == nil && r.ran() != nil { // bound to where it has been
-		best, walled = b.turnOf(now, r, b.servers)
+func (b *Balancer) pick(now time.Duration, r *request) *endpoint {
+	best, walled := b.nextInTurn(now, r, b.subset)
+	if best == nil && r.firstEffective() != nil { // bound to where it has been
+		best, walled = b.nextInTurn(now, r, b.endpoints)
 	}
 	if best == nil {
 		return nil
 	}
-	b.turn = max(b.turn, best.due)
-	best.due = b.turn + b.gap(now, best)
+	b.virtualTime = max(b.virtualTime, best.nextTurn)
+	best.nextTurn = b.virtualTime + b.turnGap(now, best)
 	switch {
 	case walled:
-		b.count.Walled++
+		b.count.DivertedSends++
 	case len(r.attempts) == 0:
-		b.count.Ordinary++
+		b.count.RoundRobinSends++
 	}
 	return best
 }
 
-// portion is how many of our attempts a server may hold: its part of our slots, less the more of
+// endpointLimit is how many of our attempts a server may hold: its part of our slots, less the more of
 // the aim its answers take (mean square: a long tail counts). It does not grow when others leave
 // or fail: the last would be overrun.
-func (b *Balancer) portion(s *server) float64 {
-	return max(1, b.part(float64(b.slots), s)*b.weight/b.reach*b.ease(s.used))
+func (b *Balancer) endpointLimit(s *endpoint) float64 {
+	return max(1, b.proportion(float64(b.slots), s)*b.readyWeight/b.subsetWeight*b.limitFraction(s.congestion))
 }
 
-// ease is the share of its portion that crowding leaves. Where the slots of all balancers together are
+// limitFraction is the share of its portion that crowding leaves. Where the slots of all balancers
+// together are
 // more than servers can bear, each gives way so many times sooner: then they all do before servers choke.
 //
 // Answers that take a large share of the aim when nobody crowds are no crowd: the limit is then some times
 // what they take at the least, and servers bear what the quotas hold in that time (Little's law).
-func (b *Balancer) ease(used float64) float64 {
-	servers, share := float64(max(1, b.most)), b.unloaded.leastShare
-	bears := max(bearable, bearFor*b.quota*b.unloaded.least.Seconds()/servers)
+func (b *Balancer) limitFraction(used float64) float64 {
+	servers, share := float64(max(1, b.maxReady)), b.unloaded.minFraction
+	bears := max(bearable, bearFor*b.quota*b.unloaded.min.Seconds()/servers)
 	over := float64(b.slots*b.cfg.Balancers) / (bears * servers)
 	limit := max(crowdedAt*crowdedAt, min(crowdFor*share*share, crowdLimit*crowdLimit))
 	return min(1, limit/max(used*max(1, over), 1e-4))
 }
 
-// learn takes the time of an answer and the share of its aim that it is. The least drifts up, as what it
-// was may hold no more; slowly, or a crowd that stays would pass for what answers take.
-func (u *unloaded) learn(took time.Duration, share float64) {
-	u.answers = min(u.answers+1, leastOver)
-	u.mean += (took - u.mean) / time.Duration(u.answers)
-	u.meanShare += (share - u.meanShare) / float64(u.answers)
-	switch {
-	case u.answers < leastOver: // too few to tell
-	case u.least == 0:
-		u.least, u.leastShare = u.mean, u.meanShare
-	default:
-		u.least = min(u.mean, u.least+u.least/leastDrift)
-		u.leastShare = min(u.meanShare, u.leastShare+u.leastShare/leastDrift)
-	}
-}
-
-// cut picks the servers to take turns among. A thousand balancers of few requests each would hold
+// selectSubset picks the servers to take turns among. A thousand balancers of few requests each would hold
 // connections to all servers and never learn how any of them fares, so each keeps to an arc of the
 // list that its own traffic can feed. Arcs begin evenly spread, by the balancers' numbers.
-func (b *Balancer) cut() {
-	b.wanted = max(fewest, b.rate*b.every)
+func (b *Balancer) selectSubset() {
+	b.subsetSize = max(fewest, b.requestRate*b.turnInterval)
 	_, start := math.Modf(float64(b.cfg.Index) * math.Phi)
-	all, left := b.ready(), b.wanted
-	b.reach, b.arc = 0, nil
+	all, left := b.ready(), b.subsetSize
+	b.subsetWeight, b.subset = 0, nil
 	for i := range all {
 		s := all[(int(start*float64(len(all)))+i)%len(all)]
 		if left <= 0 {
-			s.ours = false
+			s.inSubset = false
 			continue
 		}
-		if !s.ours { // at a random point of its round: balancers must not begin in step
-			s.ours, s.due = true, b.turn+b.rng.Float64()*b.gap(b.rateAt, s)
+		if !s.inSubset { // at a random point of its round: balancers must not begin in step
+			s.inSubset, s.nextTurn = true, b.virtualTime+b.rng.Float64()*b.turnGap(b.requestRateAt, s)
 		}
 		left--
-		b.reach += s.Weight
-		b.arc = append(b.arc, s)
+		b.subsetWeight += s.Weight
+		b.subset = append(b.subset, s)
 	}
 }
 
-// gap is the time between a server's turns, in turns' own time. It is bounded, so that turns show recovery.
+// turnGap is the time between a server's turns, in turns' own time. It is bounded, so that turns
+// show recovery.
 // Other zones' have turns too, if fewer: a zone may have more traffic than its own servers can bear.
-func (b *Balancer) gap(now time.Duration, s *server) float64 {
-	gap := math.Pow(max(0.5, min(s.strain, failStrain/2)), 1.5) / (s.Weight * b.warmth(now, s))
-	if b.far(s) {
+func (b *Balancer) turnGap(now time.Duration, s *endpoint) float64 {
+	gap := math.Pow(max(0.5, min(s.relativeLatency, failStrain/2)),
+		1.5) / (s.Weight * b.capacityFraction(now, s))
+	if b.crossesZone(s) {
 		gap /= farTurns
 	}
 	return gap
 }
 
-// turnOf finds whose turn it is, and whether a server that holds its portion lost it.
-func (b *Balancer) turnOf(now time.Duration, r *request, among []*server) (best *server, walled bool) {
+// nextInTurn finds whose turn it is, and whether a server that holds its portion lost it.
+func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*endpoint) (best *endpoint,
+	walled bool) {
 	lost := math.Inf(1)
 	for _, s := range among {
 		switch {
-		case r.tried(s) || !b.mayGo(now, r, s):
-		case now < s.backAt: // one that turns all away at once is never full, and would draw them all
-			lost = min(lost, s.due)
-		case float64(s.out) >= b.portion(s) || b.fuller(now, r, s):
-			lost = min(lost, s.due)
-		case best == nil || s.due < best.due:
+		case r.attempted(s) || !b.eligible(now, r, s):
+		case now < s.ejectedUntil: // one that turns all away at once is never full, and would draw them all
+			lost = min(lost, s.nextTurn)
+		case float64(s.inFlight) >= b.endpointLimit(s) || b.reportedFull(now, r, s):
+			lost = min(lost, s.nextTurn)
+		case best == nil || s.nextTurn < best.nextTurn:
 			best = s
 		}
 	}
-	return best, best != nil && lost < best.due
+	return best, best != nil && lost < best.nextTurn
 }
 
 // backoff is the pause after n failures, spread so that balancers do not act as one.
 func (b *Balancer) backoff(n int) time.Duration {
-	d := min(firstPause<<min(n, 16), lastPause, cmp.Or(b.cfg.AskWithin, lastPause))
+	d := min(firstPause<<min(n, 16), lastPause, cmp.Or(b.cfg.PollInterval, lastPause))
 	return time.Duration(float64(d) * (0.5 + b.rng.Float64()))
 }
 
-// judge learns how a server fares: strain stretches the gap between its turns. It guards against any cause,
+// recordOutcome learns how a server fares: strain stretches the gap between its turns. It guards
+// against any cause,
 // slowness, errors, silence, refusals, a limit shared with others. The turns left show when it is well again.
-func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end Ending) {
-	s, took := a.to, now-a.sent
-	if end == Served || end == TimedOut && s.strain < failStrain/2 { // a strained one alone is no crowd
-		x := float64(took) / float64(r.class.Aim)
-		s.used += (x*x - s.used) / 8
-		b.crowd += (x*x - b.crowd) * min(0.5, max(1.0/16, (now-b.crowdAt).Seconds()/10)) // if rare, each tells more
-		b.crowdAt = now
-		b.note(now, x*x)
+func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, end Result) {
+	s, took := a.endpoint, now-a.sentAt
+	// a strained one alone is no crowd
+	if end == Succeeded || end == TimedOut && s.relativeLatency < failStrain/2 {
+		x := float64(took) / float64(r.class.LatencyObjective)
+		s.congestion += (x*x - s.congestion) / 8
+		// if rare, each tells more
+		b.congestion += (x*x - b.congestion) * min(0.5, max(1.0/16, (now-b.congestionAt).Seconds()/10))
+		b.congestionAt = now
+		b.recordSample(now, x*x)
 	}
 	x := failStrain
 	switch end {
 	case Cancelled, NotSent:
 		return
-	case Served:
-		x = min(x, float64(took)/float64(r.class.pace))
-		r.class.pace += (took - r.class.pace) / 16
-		b.unloaded.learn(took, float64(took)/float64(r.class.Aim))
-		b.pace += (took - b.pace) / 32
-		if s.silent > 0 && s.strain > failStrain/2 && now-s.silent > time.Second { // restarted, maybe
-			s.warmAt = max(s.warmAt, now+b.cfg.ColdTime)
-			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silent))
+	case Succeeded:
+		x = min(x, float64(took)/float64(r.class.meanLatency))
+		r.class.meanLatency += (took - r.class.meanLatency) / 16
+		b.unloaded.observe(took, float64(took)/float64(r.class.LatencyObjective))
+		b.meanLatency += (took - b.meanLatency) / 32
+		// restarted, maybe
+		if s.unresponsiveSince > 0 && s.relativeLatency > failStrain/2 &&
+			now-s.unresponsiveSince > time.Second {
+			s.slowStartUntil = max(s.slowStartUntil, now+b.cfg.SlowStartDuration)
+			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.unresponsiveSince))
 		}
-		s.silent, s.fails, s.backAt = 0, 0, 0
-	case TimedOut, NoConnection:
-		if s.silent == 0 {
-			s.silent = now
+		s.unresponsiveSince, s.consecutiveFailures, s.ejectedUntil = 0, 0, 0
+	case TimedOut, ConnectFailed:
+		if s.unresponsiveSince == 0 {
+			s.unresponsiveSince = now
 		}
 	}
-	if end != Served {
-		if s.fails++; s.fails > 1 {
-			s.backAt = max(s.backAt, now+failPause<<min(s.fails-2, failDouble))
+	if end != Succeeded {
+		if s.consecutiveFailures++; s.consecutiveFailures > 1 {
+			s.ejectedUntil = max(s.ejectedUntil, now+failPause<<min(s.consecutiveFailures-2, failDouble))
 		}
 	}
-	if before := s.strain; before < failStrain/2 && before+(x-before)/4 >= failStrain/2 {
-		b.host.Log(fmt.Sprintf("server %x strained, %d attempts out", s.ID, s.out))
+	if before := s.relativeLatency; before < failStrain/2 && before+(x-before)/4 >= failStrain/2 {
+		b.host.Log(fmt.Sprintf("server %x strained, %d attempts out", s.ID, s.inFlight))
 	}
-	s.strain += (x - s.strain) / 4
+	s.relativeLatency += (x - s.relativeLatency) / 4
 }
 
-// List takes news of the server list. After a failed call it is asked for again soon: what changed counts
+// UpdateEndpoints takes news of the server list. After a failed call it is asked for again soon:
+// what changed counts
 // as told 6 s after it can be reached, most of it for a turn. Pauses are from one call's start to the next.
-func (b *Balancer) List(now time.Duration, kind ListKind, entries []Server) {
-	if kind == ListFailed {
-		b.askAt = max(now+b.backoff(0), b.askedAt+b.backoff(b.askFails))
-		b.askFails++
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
+	if kind == UpdateFailed {
+		b.pollAt = max(now+b.backoff(0), b.polledAt+b.backoff(b.pollFailures))
+		b.pollFailures++
 		return
 	}
-	if kind != ListCached && b.cfg.AskList {
-		b.askAt, b.askFails = 0, 0
+	if kind != CachedUpdate && b.cfg.PollsEndpoints {
+		b.pollAt, b.pollFailures = 0, 0
 	}
-	if kind != ListDelta {
-		b.allGone() // until the list names them
+	if kind != DeltaUpdate {
+		b.markAllRemoved() // until the list names them
 	}
 	for _, e := range entries {
-		b.enter(now, e)
+		b.applyEntry(now, e)
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == Gone })
-	if b.mean == 0 {
-		b.deriveSlots() // no quotas: the first list is all there is to go by
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(s *endpoint) bool { return s.State == Removed })
+	if b.fleetConcurrency == 0 {
+		b.sizeBulkheads() // no quotas: the first list is all there is to go by
 	}
-	b.weigh()
-	b.feed(now)
+	b.readyChanged()
+	b.serveQueues(now)
 }
 
-// enter takes over one line of the list.
-func (b *Balancer) enter(now time.Duration, e Server) {
+// applyEntry takes over one line of the list.
+func (b *Balancer) applyEntry(now time.Duration, e Endpoint) {
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 		e.Weight = 1 // no weights, even turns
 	}
-	s := b.listed(e.ID)
-	if e.Started > 0 && e.Started > s.Started { // cold, and nothing known of it holds any more
-		*s = server{Server: e, out: s.out, warmAt: max(s.warmAt, e.Started+b.cfg.ColdTime), strain: 1}
+	s := b.findOrAdd(e.ID)
+	if e.StartedAt > 0 && e.StartedAt > s.StartedAt { // cold, and nothing known of it holds any more
+		*s = endpoint{Endpoint: e, inFlight: s.inFlight, slowStartUntil: max(s.slowStartUntil,
+			e.StartedAt+b.cfg.SlowStartDuration), relativeLatency: 1}
 		// All balancers are told at about the same time: their first sends are spread too.
-		s.coldAt = now + time.Duration(b.rng.Float64()*float64(b.coldGap(now, s)))
+		s.nextSlowStartSend = now + time.Duration(b.rng.Float64()*float64(b.slowStartInterval(now, s)))
 	}
-	s.Server = e
+	s.Endpoint = e
 	if s.State == Draining {
-		b.close(now, s)
+		b.closeIdle(now, s)
 	}
 }
 
-// ask subscribes to the list. Without any word it asks again before its silence counts as being told.
-func (b *Balancer) ask(now time.Duration) {
-	b.askedAt, b.askAt = now, now+cmp.Or(b.cfg.AskWithin*3/4, 4*lastPause)
-	b.host.WatchList()
+// poll subscribes to the list. Without any word it asks again before its silence counts as being told.
+func (b *Balancer) poll(now time.Duration) {
+	b.polledAt, b.pollAt = now, now+cmp.Or(b.cfg.PollInterval*3/4, 4*lastPause)
+	b.host.WatchEndpoints()
 }
 
-// sample probes one server a few times in a row: reports that do not change as fast as they are used
+// sampleReports probes one server a few times in a row: reports that do not change as fast as they are used
 // must not steer single sends. All balancers would crowd to where it was empty (i50e019).
-func (b *Balancer) sample(now time.Duration) {
-	due := b.pairs < pairsMost && now >= b.sampleAt && len(b.arc) > 0
-	if !due || !b.cfg.MayProbe || b.cfg.Reports&HasInFlight == 0 {
+func (b *Balancer) sampleReports(now time.Duration) {
+	due := b.comparisons < pairsMost && now >= b.nextSampleAt && len(b.subset) > 0
+	if !due || !b.cfg.CanHealthCheck || b.cfg.ReportFields&HasInFlight == 0 {
 		return
 	}
 	if b.sampled == nil || b.sampled.State != Ready {
-		b.sampled = b.arc[b.rng.IntN(len(b.arc))]
+		b.sampled = b.subset[b.rng.IntN(len(b.subset))]
 	}
-	b.sampleAt = now + toldFor
-	b.host.Probe(b.sampled.ID)
-	b.wake(now, toldFor)
+	b.nextSampleAt = now + toldFor
+	b.host.HealthCheck(b.sampled.ID)
+	b.setTimer(now, toldFor)
 }
 
-// inquire asks the server whose turn it is what it holds, where its last word is old: among many
+// awaitReport asks the server whose turn it is what it holds, where its last word is old: among many
 // balancers, what one has out there itself tells next to nothing.
-func (b *Balancer) inquire(now time.Duration, r *request) bool {
-	if !b.cfg.MayProbe || b.cfg.Reports&HasInFlight == 0 || b.fresh < pairsMost-1 || r.asked >= askMost {
+func (b *Balancer) awaitReport(now time.Duration, r *request) bool {
+	if !b.cfg.CanHealthCheck || b.cfg.ReportFields&HasInFlight == 0 ||
+		b.changedReports < pairsMost-1 || r.healthChecks >= askMost {
 		return false
 	}
-	s, _ := b.turnOf(now, r, b.arc)
-	if s == nil || (s.toldAt > 0 && now-s.toldAt < toldFor) {
+	s, _ := b.nextInTurn(now, r, b.subset)
+	if s == nil || (s.reportedAt > 0 && now-s.reportedAt < toldFor) {
 		return false
 	}
-	r.asks, r.asksUntil = s, now+askWait
-	r.asked++
-	b.host.Probe(s.ID)
+	r.awaitedReport, r.reportDeadline = s, now+askWait
+	r.healthChecks++
+	b.host.HealthCheck(s.ID)
 	return true
 }
 
-// Probed takes the result of a probe.
-func (b *Balancer) Probed(now time.Duration, id ServerID, ok bool, l Load) {
-	s := b.server(id)
-	told := s != nil && ok && l.Has&HasInFlight != 0
-	if s != nil && s == b.sampled && b.pairs < pairsMost && (!told || s.toldAt > 0 && now-s.toldAt >= toldFor) {
-		b.pairs++ // one that does not tell is no fresh one
-		if told && l != s.load {
-			if b.fresh++; b.fresh == pairsMost-1 { // asking finds room best among many
-				b.every *= 3
+// HealthChecked takes the result of a probe.
+func (b *Balancer) HealthChecked(now time.Duration, id EndpointID, ok bool, l LoadReport) {
+	s := b.endpoint(id)
+	told := s != nil && ok && l.Fields&HasInFlight != 0
+	if s != nil && s == b.sampled && b.comparisons < pairsMost && (!told || s.reportedAt > 0 &&
+		now-s.reportedAt >= toldFor) {
+		b.comparisons++ // one that does not tell is no fresh one
+		if told && l != s.report {
+			if b.changedReports++; b.changedReports == pairsMost-1 { // asking finds room best among many
+				b.turnInterval *= 3
 			}
 		}
 	}
 	if told {
-		s.toldAt, s.load, s.others = now, l, max(0, l.InFlight-float64(s.out))
-	} else if s != nil && b.fresh >= pairsMost-1 { // it can't tell: the turn is the next one's
-		s.toldAt, s.others = now, math.Inf(1)
+		s.reportedAt, s.report, s.othersInFlight = now, l, max(0, l.InFlight-float64(s.inFlight))
+	} else if s != nil && b.changedReports >= pairsMost-1 { // it can't tell: the turn is the next one's
+		s.reportedAt, s.othersInFlight = now, math.Inf(1)
 	}
-	for _, r := range b.open {
-		if s != nil && r.asks == s && !r.over {
-			r.asks = nil
+	for _, r := range b.openRequests {
+		if s != nil && r.awaitedReport == s && !r.closed {
+			r.awaitedReport = nil
 			b.place(now, r)
 		}
 	}
 }
 
-// fuller says that a server reports to hold its part of all balancers' requests, or that
+// reportedFull says that a server reports to hold its part of all balancers' requests, or that
 // it has not reported and the request met only such ones.
-func (b *Balancer) fuller(now time.Duration, r *request, s *server) bool {
-	if s.toldAt == 0 || now-s.toldAt >= 5*toldFor {
-		return r.asked >= askMost
+func (b *Balancer) reportedFull(now time.Duration, r *request, s *endpoint) bool {
+	if s.reportedAt == 0 || now-s.reportedAt >= 5*toldFor {
+		return r.healthChecks >= askMost
 	}
-	return s.others+float64(s.out) >= partRoom+b.part(b.mean, s)
+	return s.othersInFlight+float64(s.inFlight) >= partRoom+b.proportion(b.fleetConcurrency, s)
 }
 
-// finish is the one place that answers: refused where that is true, failed where it is not.
-func (b *Balancer) finish(now time.Duration, r *request) {
+// giveUp is the one place that answers: refused where that is true, failed where it is not.
+func (b *Balancer) giveUp(now time.Duration, r *request) {
 	switch {
-	case r.over:
+	case r.closed:
 		return
-	case r.ran() == nil || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Scope == ScopeAll):
-		b.count.Refused++
-		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
-		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause))
+	case r.firstEffective() == nil || r.class.Idempotency == Idempotent ||
+		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere):
+		b.count.Rejected++
+		pause := time.Duration((1 + b.rng.Float64()) * float64(b.meanLatency)) // spread: not all at once
+		b.host.Reject(r.id, min(b.cfg.MaxRetryAfter, pause))
 	default:
 		b.count.Failed++
 		b.host.Fail(r.id)
 	}
-	b.remember(now, r)
-	b.settle(r)
+	b.rememberAbandoned(now, r)
+	b.closeRequest(r)
 }
 
-// settle closes a request that has its answer: out of the queue, attempts called off.
-func (b *Balancer) settle(r *request) {
-	r.over = true
-	if i := slices.Index(r.home.queue, r); i >= 0 {
-		r.home.queue = slices.Delete(r.home.queue, i, i+1)
+// closeRequest closes a request that has its answer: out of the queue, attempts called off.
+func (b *Balancer) closeRequest(r *request) {
+	r.closed = true
+	if i := slices.Index(r.bulkhead.queue, r); i >= 0 {
+		r.bulkhead.queue = slices.Delete(r.bulkhead.queue, i, i+1)
 	}
 	for i := range r.attempts {
-		if r.attempts[i].state == inFlight && b.cfg.MayCancel {
+		if r.attempts[i].state == attemptInFlight && b.cfg.CanCancel {
 			b.host.Cancel(r.id, i)
 		}
 	}
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		b.forget(r)
 	}
 }
