--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,26 +10,26 @@
 
 func TestSlotsAndQueue(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
-	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
-		t.Fatalf("walls: slots %d %d, places %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
+	if b.FreeSlots(0) != 6 || b.FreeSlots(1) != 2 || b.FreeQueue(0) != 1 || b.FreeQueue(1) != 1 {
+		t.Fatalf("walls: slots %d %d, places %d %d", b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(0), b.FreeQueue(1))
 	}
 	for id := range RequestID(10) {
 		ask(b, 0, id, safeClass)
 	}
-	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
-		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
+	if len(h.sends) != 6 || b.FreeQueue(0) != 0 {
+		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.FreeQueue(0))
 	}
 	if pause, ok := h.refused[9]; !ok || pause <= 0 || pause > time.Second {
 		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with advice", ok, pause)
 	}
-	if b.SlotsFree(1) != 2 {
+	if b.FreeSlots(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, Left: 2 * time.Second})
+	b.Request(0, Request{ID: 20, Class: safeClass, Tenant: 1, Timeout: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
-	end(b, 50*ms, 0, 0, Served)
+	end(b, 50*ms, 0, 0, Succeeded)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
 		t.Fatalf("a freed slot did not go to the first in the queue: %v", h.sends)
 	}
@@ -38,14 +38,14 @@
 // Guards against: a client's later tries are served when nothing can be earned by them any more.
 func TestLateTriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, Left: d}) }
+	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: safeClass, Timeout: d}) }
 	left(1, 2800*ms) // first tries come with this much of the class's 3 s
 	left(2, 2500*ms) // begun half a second ago
 	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
 		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
 	}
-	b.crowd = 0.2 // answers are slow
+	b.congestion = 0.2 // answers are slow
 	left(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
 		t.Fatal("a late try took a slot while answers were slow")
@@ -61,8 +61,8 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: safeClass, Left: left})
-		end(b, now+5*ms, id, 0, Served)
+		b.Request(now, Request{ID: id, Class: safeClass, Timeout: left})
+		end(b, now+5*ms, id, 0, Succeeded)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
 		t.Fatalf("time-out %v: the aim of a first try is still cut", last.timeout)
@@ -71,11 +71,11 @@
 
 func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: safeClass, Left: 2800 * ms})
-	b.Request(0, Request{ID: 2, Class: safeClass, Left: 2500 * ms})
-	b.Request(0, Request{ID: 3, Class: safeClass, Left: 2500 * ms, Repeat: true})
+	b.Request(0, Request{ID: 1, Class: safeClass, Timeout: 2800 * ms})
+	b.Request(0, Request{ID: 2, Class: safeClass, Timeout: 2500 * ms})
+	b.Request(0, Request{ID: 3, Class: safeClass, Timeout: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -88,7 +88,7 @@
 		t.Fatal("refused at once, though the queue has room")
 	}
 	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if _, ok := h.refused[1]; !ok {
 		t.Fatal("still held when its aim had passed")
@@ -100,11 +100,11 @@
 func TestWaitEndsWhileAnAnswerCanStillCome(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
 	ask(b, 0, 1, safeClass) // an aim of 1 s, answers usually take 125 ms
-	b.Wake(740 * ms)
+	b.TimerFired(740 * ms)
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
 	}
-	b.List(760*ms, ListFull, ready(1))
+	b.UpdateEndpoints(760*ms, FullUpdate, ready(1))
 	if _, refused := h.refused[1]; !refused {
 		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
 	}
@@ -117,23 +117,23 @@
 	for id := range RequestID(40) {
 		now := time.Duration(id) * 20 * ms
 		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, Served)
+		end(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
 		t.Fatalf("turns %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
 	}
-	if c := b.Counters(); c.Ordinary != 40 {
-		t.Fatalf("ordinary sends %d of 40", c.Ordinary)
+	if c := b.Counters(); c.RoundRobinSends != 40 {
+		t.Fatalf("ordinary sends %d of 40", c.RoundRobinSends)
 	}
 }
 
 func TestZeroWeightsMeanEvenTurns(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
+	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
 		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, Served)
+		end(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
 		t.Fatalf("turns %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
@@ -142,11 +142,11 @@
 
 func TestAttemptIsCutWhereItsAnswerIsWorthless(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[1].LateShare = 0.5
+	cfg.Classes[1].LateValue = 0.5
 	b, h := start(t, cfg, ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	ask(b, 0, 2, keyedAll)
-	b.Request(0, Request{ID: 3, Class: keyedCell, Left: 300 * ms})
+	b.Request(0, Request{ID: 3, Class: keyedCell, Timeout: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -162,19 +162,19 @@
 	for _, c := range []struct {
 		name  string
 		class int
-		ends  Ending
+		ends  Result
 		again bool
 		fails bool // where it is not sent again
 	}{
-		{"safe after an error", safeClass, Errored, true, false},
-		{"keyed after a reset", keyedAll, Broken, true, false},
-		{"unsafe turned away", unsafeClass, TurnedAway, true, false},
-		{"unsafe without a connection", unsafeClass, NoConnection, true, false},
+		{"safe after an error", safeClass, ServerError, true, false},
+		{"keyed after a reset", keyedAll, ConnectionLost, true, false},
+		{"unsafe turned away", unsafeClass, Rejected, true, false},
+		{"unsafe without a connection", unsafeClass, ConnectFailed, true, false},
 		{"unsafe never sent", unsafeClass, NotSent, true, false},
-		{"unsafe after an error", unsafeClass, Errored, false, true},
-		{"unsafe after a reset", unsafeClass, Broken, false, true},
+		{"unsafe after an error", unsafeClass, ServerError, false, true},
+		{"unsafe after a reset", unsafeClass, ConnectionLost, false, true},
 		{"unsafe after a time-out", unsafeClass, TimedOut, false, true},
-		{"unsafe after an unknown end", unsafeClass, Ending(99), false, true},
+		{"unsafe after an unknown end", unsafeClass, Result(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
@@ -197,7 +197,7 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
 	ask(b, 0, 1, unsafeClass)
 	for i := range 3 {
-		end(b, time.Duration(i+1)*ms, 1, i, NoConnection)
+		end(b, time.Duration(i+1)*ms, 1, i, ConnectFailed)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
 		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
@@ -205,22 +205,22 @@
 }
 
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	list := []Server{
+	list := []Endpoint{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
-	byID := func(id ServerID) Server { return list[id-1] }
+	byID := func(id EndpointID) Endpoint { return list[id-1] }
 	for id := range RequestID(8) { // the turns make the first attempt meet every server
 		for _, class := range []int{keyedZone, keyedCell} {
 			b, h := start(t, testConfig(), list)
 			for warm := range id {
 				ask(b, 0, 100+warm, safeClass)
-				end(b, ms, 100+warm, 0, Served)
+				end(b, ms, 100+warm, 0, Succeeded)
 			}
 			h.sends = nil
 			ask(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
-			end(b, 30*ms, 1, 0, Broken)
+			end(b, 30*ms, 1, 0, ConnectionLost)
 			if len(h.sends) < 2 {
 				if class == keyedZone || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
@@ -236,25 +236,25 @@
 }
 
 func TestKeyedGroupCountsFromTheAttemptThatMayHaveRun(t *testing.T) {
-	list := []Server{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
+	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
 	b, h := start(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := RequestID(100 + len(h.sends))
 		ask(b, 0, id, safeClass)
-		end(b, ms, id, 0, Served)
+		end(b, ms, id, 0, Succeeded)
 	}
-	b.List(ms, ListDelta, []Server{{ID: 3, State: Gone}})
+	b.UpdateEndpoints(ms, DeltaUpdate, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
 	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, TurnedAway) // it never ran there, so zone 1 does not bind
+	end(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, Broken) // may have run in zone 0: server 2 is barred now
+	end(b, 4*ms, 1, 1, ConnectionLost) // may have run in zone 0: server 2 is barred now
 	if len(h.sends) != 2 {
 		t.Fatalf("sent outside the group: %v", h.sends)
 	}
@@ -263,32 +263,32 @@
 func TestKeyedWindowAndRefusal(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	ask(b, 0, 1, keyedAll)
-	end(b, 700*ms, 1, 0, Errored) // the window of 700 ms since its send is over
+	end(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
 	forgetAsked(b)
 	ask(b, 800*ms, 2, keyedZone)
-	end(b, 1500*ms, 2, 0, Errored)
+	end(b, 1500*ms, 2, 0, ServerError)
 	if !h.failed[2] {
 		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
 	}
 }
 
 func TestDrainingServerGetsNothingMore(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []EndpointState{Draining, Removed} {
 		b, h := start(t, testConfig(), ready(1, 2))
-		b.List(10*ms, ListDelta, []Server{{ID: 1, State: state, Weight: 1}})
+		b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: state, Weight: 1}})
 		for id := range RequestID(10) {
 			ask(b, 10*ms, id, safeClass)
-			end(b, 20*ms, id, 0, Served)
+			end(b, 20*ms, id, 0, Succeeded)
 		}
 		if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
 			t.Fatalf("state %v: sent %d to it", state, h.sentTo(1))
 		}
 	}
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.List(10*ms, ListFull, ready(2)) // absent from a full list
+	b.UpdateEndpoints(10*ms, FullUpdate, ready(2)) // absent from a full list
 	for id := range RequestID(4) {
 		ask(b, 10*ms, id, safeClass)
 	}
@@ -303,14 +303,14 @@
 		cfg.Balancers = balancers
 		list := ready(1, 2)
 		b, h := start(t, cfg, list)
-		list[0].Started = 10 * time.Second // restarted under the same id
-		b.List(10*time.Second, ListDelta, list[:1])
+		list[0].StartedAt = 10 * time.Second // restarted under the same id
+		b.UpdateEndpoints(10*time.Second, DeltaUpdate, list[:1])
 		id := RequestID(0)
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.sentTo(1)
 			ask(b, now, id, safeClass)
-			end(b, now+ms, id, 0, Served)
+			end(b, now+ms, id, 0, Succeeded)
 			id++
 			if h.sentTo(1) > before && now < 11*time.Second {
 				sends[true]++
@@ -334,12 +334,12 @@
 	for id := range RequestID(300) {
 		ask(b, now, id, safeClass)
 		if last := h.sends[len(h.sends)-1]; last.id == id && last.to != 1 {
-			end(b, now+5*ms, id, 0, Served)
+			end(b, now+5*ms, id, 0, Succeeded)
 		}
 		now += 10 * ms
-		b.Wake(now)
+		b.TimerFired(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
+			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
 				end(b, now, s.id, 0, TimedOut)
 			}
 		}
@@ -357,9 +357,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.server(1).used += (0.8*0.8 - b.server(1).used) / 8
+		b.endpoint(1).congestion += (0.8*0.8 - b.endpoint(1).congestion) / 8
 	}
-	if slow, well := b.portion(b.server(1)), b.portion(b.server(2)); slow != 1 || well != 4 {
+	if slow, well := b.endpointLimit(b.endpoint(1)), b.endpointLimit(b.endpoint(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -370,16 +370,16 @@
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.crowd = 0.36 // answers take 0.6 of the aim
+	b.congestion = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
-	if len(h.sends) != 4 || b.Counters().Held != 2 {
+	if len(h.sends) != 4 || b.Counters().ConcurrencyLimited != 2 {
 		t.Fatalf("%d attempts out of 8 slots, %d held, want 4 and 2 while every server is crowded",
-			len(h.sends), b.Counters().Held)
+			len(h.sends), b.Counters().ConcurrencyLimited)
 	}
 	b, h = start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.crowd = 0.13 // over the measure of a server, not yet over that of all
+	b.congestion = 0.13 // over the measure of a server, not yet over that of all
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
@@ -392,11 +392,11 @@
 func TestRepeatsAreToldTheirWindow(t *testing.T) {
 	for _, c := range []struct {
 		class int
-		ends  Ending
+		ends  Result
 		want  time.Duration
 	}{
-		{keyedAll, Errored, 400 * ms}, {keyedZone, Broken, 400 * ms}, {keyedCell, TimedOut, 400 * ms},
-		{keyedAll, TurnedAway, 0}, {keyedAll, NoConnection, 0}, {safeClass, Errored, 0}, {unsafeClass, TurnedAway, 0},
+		{keyedAll, ServerError, 400 * ms}, {keyedZone, ConnectionLost, 400 * ms}, {keyedCell, TimedOut, 400 * ms},
+		{keyedAll, Rejected, 0}, {keyedAll, ConnectFailed, 0}, {safeClass, ServerError, 0}, {unsafeClass, Rejected, 0},
 	} {
 		b, h := start(t, testConfig(), ready(1, 2, 3))
 		ask(b, 0, 1, c.class)
@@ -410,14 +410,14 @@
 // A server that leaves may be listed without its zone and cell. The repeat of what it may have run stays within them.
 func TestRepeatStaysInTheGroupOfOneThatLeft(t *testing.T) {
 	for _, class := range []int{keyedZone, keyedCell} {
-		list := []Server{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}}
+		list := []Endpoint{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}}
 		b, h := start(t, testConfig(), list)
 		ask(b, 0, 1, class)
-		list[0].Zone, list[0].Cell, list[0].State = 0, 0, Gone
-		other := Server{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
-		b.List(ms, ListDelta, append(list, other))
-		end(b, 2*ms, 1, 0, Broken)
-		b.Wake(100 * ms)
+		list[0].Zone, list[0].Cell, list[0].State = 0, 0, Removed
+		other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
+		b.UpdateEndpoints(ms, DeltaUpdate, append(list, other))
+		end(b, 2*ms, 1, 0, ConnectionLost)
+		b.TimerFired(100 * ms)
 		if len(h.sends) != 1 || h.sends[0].to != 1 {
 			t.Errorf("class %d: sends %+v, want the first alone", class, h.sends)
 		}
@@ -429,26 +429,26 @@
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.crowd = 0.36 // answers take 0.6 of the aim
+	b.congestion = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
-	sends, held := len(h.sends), b.Counters().Held
+	sends, held := len(h.sends), b.Counters().ConcurrencyLimited
 	if held == 0 {
 		t.Fatal("nothing was held back")
 	}
 	for id := range RequestID(6) {
 		if h.sentFor(id) == 0 {
-			b.ClientGone(ms, id)
+			b.ClientDisconnected(ms, id)
 		}
 	}
-	b.crowd = 0
+	b.congestion = 0
 	for id := range RequestID(6) {
 		if h.sentFor(id) > 0 {
-			end(b, 2*ms, id, 0, Served)
+			end(b, 2*ms, id, 0, Succeeded)
 		}
 	}
-	b.Wake(200 * ms)
+	b.TimerFired(200 * ms)
 	if len(h.sends) != sends || len(b.requests) != 0 {
 		t.Errorf("%d sends after the clients left, %d requests kept", len(h.sends)-sends, len(b.requests))
 	}
@@ -459,7 +459,7 @@
 func TestLongWorkIsNoCrowd(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 1
-	aim := cfg.Classes[safeClass].Aim
+	aim := cfg.Classes[safeClass].LatencyObjective
 	for _, c := range []struct {
 		name        string
 		least, took time.Duration
@@ -473,7 +473,7 @@
 		answer := func(id RequestID, took time.Duration) {
 			ask(b, now, id, safeClass)
 			now += took
-			end(b, now, id, 0, Served)
+			end(b, now, id, 0, Succeeded)
 		}
 		for id := range RequestID(20) {
 			answer(100+id, c.least)
@@ -494,19 +494,19 @@
 // Guards against all walls together let servers pass into their slower state.
 func TestReportedLoadWallsTheFleet(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2))
-	b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: 50})
-	b.Probed(ms, 2, true, Load{Has: HasInFlight, InFlight: 0})
+	b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 50})
+	b.HealthChecked(ms, 2, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := range RequestID(4) {
 		ask(b, 2*ms, id, safeClass)
 	}
 	if h.sentTo(1) != 0 || h.sentTo(2) != 4 || len(h.probes) != 0 {
 		t.Fatalf("sent %d to the full server, %d probes while reports are fresh", h.sentTo(1), len(h.probes))
 	}
-	b.Probed(2*ms, 9, true, Load{Has: HasInFlight, InFlight: 1})   // a server not listed
-	b.Probed(2*ms, 1, false, Load{Has: HasInFlight, InFlight: -1}) // a failed probe
-	b.Probed(2*time.Second, 1, true, Load{Has: HasInFlight, InFlight: 0})
+	b.HealthChecked(2*ms, 9, true, LoadReport{Fields: HasInFlight, InFlight: 1})   // a server not listed
+	b.HealthChecked(2*ms, 1, false, LoadReport{Fields: HasInFlight, InFlight: -1}) // a failed probe
+	b.HealthChecked(2*time.Second, 1, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := RequestID(10); id < 12; id++ {
 		ask(b, 2*time.Second, id, safeClass)
 	}
@@ -519,32 +519,32 @@
 // out at a server tells nothing of its load, and reports asked for in rotation are old when its turn comes.
 func TestAsksBeforeItSendsWhereReportsAreOld(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.pairs, b.fresh = pairsMost, pairsMost // reports were found fresh
+	b.comparisons, b.changedReports = pairsMost, pairsMost // reports were found fresh
 	ask(b, 0, 1, safeClass)
 	if len(h.probes) != 1 || len(h.sends) != 0 {
 		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.probes), len(h.sends))
 	}
 	first := h.probes[0]
-	b.Probed(6*ms, first, true, Load{Has: HasInFlight, InFlight: 50})
+	b.HealthChecked(6*ms, first, true, LoadReport{Fields: HasInFlight, InFlight: 50})
 	if len(h.probes) != 2 || h.probes[1] == first || len(h.sends) != 0 {
 		t.Fatalf("probes %v: want the next one asked, as the first is full", h.probes)
 	}
-	b.Probed(12*ms, h.probes[1], true, Load{Has: HasInFlight, InFlight: 1})
+	b.HealthChecked(12*ms, h.probes[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
 		t.Fatalf("sends %v: want one to the server that has room", h.sends)
 	}
 	ask(b, time.Second, 2, safeClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
-		b.Wake(now) // no report comes
+		b.TimerFired(now) // no report comes
 	}
 	if n := len(h.probes) - 2; n != askMost || len(h.sends) != 1 {
 		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
 			n, len(h.sends), askMost)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if _, refused := h.refused[2]; !refused {
 		t.Fatal("the request was lost")
@@ -555,16 +555,16 @@
 // tells of it. Its turn stayed the next one, so all requests asked it three times and were refused.
 func TestServerThatCannotTellLosesItsTurn(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.pairs, b.fresh = pairsMost, pairsMost // reports were found fresh
+	b.comparisons, b.changedReports = pairsMost, pairsMost // reports were found fresh
 	ask(b, 0, 1, safeClass)
 	drains := h.probes[0]
-	b.Probed(ms, drains, false, Load{})
+	b.HealthChecked(ms, drains, false, LoadReport{})
 	if len(h.probes) != 2 || h.probes[1] == drains {
 		t.Fatalf("probes %v: want the next one asked, as the first can't tell", h.probes)
 	}
-	b.Probed(2*ms, h.probes[1], true, Load{Has: HasInFlight, InFlight: 1})
+	b.HealthChecked(2*ms, h.probes[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
 		t.Fatalf("sends %v: want one to the server that has room", h.sends)
 	}
@@ -581,10 +581,10 @@
 		for n := 0; n < 3 && len(h.sends) > away+taken; n++ {
 			if h.sends[away+taken].to == 1 {
 				away++
-				end(b, now, id, n, TurnedAway)
+				end(b, now, id, n, Rejected)
 			} else {
 				taken++
-				end(b, now, id, n, Served)
+				end(b, now, id, n, Succeeded)
 			}
 		}
 	}
@@ -594,7 +594,7 @@
 	for id := RequestID(300); id < 400; id++ {
 		now := 3*time.Second + time.Duration(id)*10*ms
 		ask(b, now, id, safeClass)
-		end(b, now, id, 0, Served)
+		end(b, now, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1) - away; n < 4 {
 		t.Fatalf("%d of 100 to the server once it is well again", n)
@@ -605,10 +605,10 @@
 // more, well short of a crowd, and requests were refused.
 func TestServerTakesAFewOverItsPart(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	for over, want := range map[float64]int{1.5: 1, 2.5: 0} {
 		b, h := start(t, cfg, ready(1))
-		b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: b.mean + over})
+		b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: b.fleetConcurrency + over})
 		if ask(b, 2*ms, 1, safeClass); len(h.sends) != want {
 			t.Errorf("%d sends at %v over its part, want %d", len(h.sends), over, want)
 		}
@@ -618,10 +618,10 @@
 // Guards against a fleet shrinks, and what is left is handed the portions of what went.
 func TestPortionsDoNotGrowWhenServersLeave(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.List(ms, ListFull, ready(1))
-	b.Probed(ms, 1, true, Load{Has: HasInFlight, InFlight: 0})
+	b.UpdateEndpoints(ms, FullUpdate, ready(1))
+	b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := range RequestID(6) {
 		ask(b, ms, id, safeClass)
 	}
@@ -629,39 +629,39 @@
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
 	}
 	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
-	b.Probed(2*ms, 1, true, Load{Has: HasInFlight, InFlight: 5})
-	if !b.fuller(2*ms, &request{}, b.server(1)) {
+	b.HealthChecked(2*ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 5})
+	if !b.reportedFull(2*ms, &request{}, b.endpoint(1)) {
 		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
 	}
 }
 
 func TestAsksForTheListAndAgain(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.PollsEndpoints = true
 	b, h := start(t, cfg, ready(1))
 	if h.asks != 1 {
 		t.Fatalf("asked %d times at the start", h.asks)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
-	b.List(0, ListFailed, nil)
+	b.UpdateEndpoints(0, UpdateFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 		if h.asks > asked {
 			asked = h.asks
 			gaps = append(gaps, now-last)
 			last = now
-			b.List(now, ListFailed, nil)
+			b.UpdateEndpoints(now, UpdateFailed, nil)
 		}
 	}
-	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
+	if len(gaps) < 4 || slices.Max(gaps) >= cfg.PollInterval || gaps[0] >= gaps[len(gaps)-1] {
+		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.PollInterval)
 	}
-	if b.server(1) == nil {
+	if b.endpoint(1) == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
-	b.List(40*time.Second, ListFull, ready(1))
+	b.UpdateEndpoints(40*time.Second, FullUpdate, ready(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if h.asks != asked {
 		t.Fatal("asks again though it is subscribed")
@@ -670,12 +670,12 @@
 
 func TestUnansweredCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.PollsEndpoints = true
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
-	for now := time.Duration(0); now < cfg.AskWithin; now += 50 * ms {
-		b.Wake(now)
+	for now := time.Duration(0); now < cfg.PollInterval; now += 50 * ms {
+		b.TimerFired(now)
 	}
 	if h.asks < 2 {
 		t.Fatal("silence of the list service would have counted as being told")
@@ -685,12 +685,12 @@
 // Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
 func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList, cfg.AskWithin = true, 0
+	cfg.PollsEndpoints, cfg.PollInterval = true, 0
 	h := newFakeHost()
 	b, _ := New(cfg, 1, h)
 	b.Start(0)
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if h.asks != 3 {
 		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
@@ -699,40 +699,40 @@
 
 func TestOddEventsArePassedOver(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, Request{ID: 1, Class: 99, Left: time.Second})
-	b.Request(0, Request{ID: 2, Class: -1, Left: time.Second})
-	b.Request(0, Request{ID: 3, Tenant: 7, Left: time.Second})
-	b.Request(0, Request{ID: 4, Left: 0})
-	b.Request(0, Request{ID: 5, Left: -time.Second})
+	b.Request(0, Request{ID: 1, Class: 99, Timeout: time.Second})
+	b.Request(0, Request{ID: 2, Class: -1, Timeout: time.Second})
+	b.Request(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
+	b.Request(0, Request{ID: 4, Timeout: 0})
+	b.Request(0, Request{ID: 5, Timeout: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
 	ask(b, 0, 6, safeClass)
 	ask(b, 0, 6, safeClass) // held already
-	end(b, 0, 6, 3, Served)
-	end(b, 0, 6, -1, Served)
-	end(b, 0, 77, 0, Served)
-	b.ClientGone(0, 77)
-	b.StreamBegun(77)
-	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
+	end(b, 0, 6, 3, Succeeded)
+	end(b, 0, 6, -1, Succeeded)
+	end(b, 0, 77, 0, Succeeded)
+	b.ClientDisconnected(0, 77)
+	b.StreamStarted(77)
+	if len(h.sends) != 1 || b.FreeSlots(0) != 5 {
+		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.FreeSlots(0))
 	}
-	end(b, ms, 6, 0, Served)
-	end(b, ms, 6, 0, Served) // twice
-	if b.SlotsFree(0) != 6 {
-		t.Fatalf("slots free %d after a repeated outcome, want 6", b.SlotsFree(0))
+	end(b, ms, 6, 0, Succeeded)
+	end(b, ms, 6, 0, Succeeded) // twice
+	if b.FreeSlots(0) != 6 {
+		t.Fatalf("slots free %d after a repeated outcome, want 6", b.FreeSlots(0))
 	}
 }
 
 func TestClientGoneFreesAndForgets(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, safeClass)
-	b.ClientGone(ms, 1)
-	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
+	b.ClientDisconnected(ms, 1)
+	if len(h.cancelled) != 1 || b.FreeSlots(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
 	}
 	end(b, 2*ms, 1, 0, Cancelled)
-	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
+	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.FreeSlots(0) != 6 {
 		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
@@ -740,14 +740,14 @@
 func TestStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
-	b.StreamBegun(1)
+	b.StreamStarted(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
 		t.Fatal("a stream that had begun was answered, called off or sent again")
 	}
-	b.Outcome(11*time.Second, Outcome{ID: 1, Ending: Broken, Settled: true})
+	b.Outcome(11*time.Second, Outcome{RequestID: 1, Result: ConnectionLost, Answered: true})
 	if len(b.requests) != 0 {
 		t.Fatal("the ended stream is still held")
 	}
@@ -760,25 +760,25 @@
 		ask(b, now, id, safeClass)
 		switch id % 3 {
 		case 0:
-			end(b, now+ms, id, 0, Served)
+			end(b, now+ms, id, 0, Succeeded)
 		case 1:
-			b.ClientGone(now+ms, id)
+			b.ClientDisconnected(now+ms, id)
 			end(b, now+2*ms, id, 0, Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, Broken)
-			end(b, now+2*ms, id, 1, Served)
+			end(b, now+ms, id, 0, ConnectionLost)
+			end(b, now+2*ms, id, 1, Succeeded)
 		}
 		if id%100 == 0 {
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Ready, Weight: 1}})
-			b.List(now, ListDelta, []Server{{ID: ServerID(1000 + id), State: Gone}})
+			b.UpdateEndpoints(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), State: Ready, Weight: 1}})
+			b.UpdateEndpoints(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), State: Removed}})
 		}
-		b.Wake(now + 3*ms)
+		b.TimerFired(now + 3*ms)
 	}
-	b.Wake(time.Hour)
+	b.TimerFired(time.Hour)
 	// A few had their second attempt after a pause, behind the end that this test told of.
-	if len(b.requests) > 20 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 20 || len(b.openRequests) > 3 || len(b.endpoints) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.open), cap(b.open), len(b.servers))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints))
 	}
 }
 
@@ -792,15 +792,15 @@
 		if b.slots < 2 || float64(b.slots) > whole {
 			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
 		}
-		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
-			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
+		if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
+			t.Errorf("%d balancers: compartments %d and %d", balancers, b.FreeSlots(0), b.FreeSlots(1))
 		}
 	}
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Tenant: 5, Left: time.Second})
-	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
+	b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
+	if len(b.bulkheads) != 1 || b.slots != 7 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads), b.slots, len(h.sends))
 	}
 }
 
@@ -810,14 +810,14 @@
 		"Classes":       func(c *Config) { c.Classes = nil },
 		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
 		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.ColdFrom = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.ColdMultiple = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.ColdTime = -1 },
-		"Tick":          func(c *Config) { c.Tick = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].Aim = 0 },
+		"ColdFrom":      func(c *Config) { c.SlowStartFraction = 1.5 },
+		"ColdMultiple":  func(c *Config) { c.OverloadFactor = math.Inf(1) },
+		"ColdTime":      func(c *Config) { c.SlowStartDuration = -1 },
+		"Tick":          func(c *Config) { c.EventInterval = -1 },
+		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = 0 },
 		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateShare":     func(c *Config) { c.Classes[0].LateShare = math.NaN() },
-		"Share":         func(c *Config) { c.Tenants[1].Share = -0.1 },
+		"LateShare":     func(c *Config) { c.Classes[0].LateValue = math.NaN() },
+		"Share":         func(c *Config) { c.Tenants[1].Weight = -0.1 },
 		"Quota":         func(c *Config) { c.Tenants[1].Quota = math.NaN() },
 		"adds up to 0":  func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
 		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
@@ -834,21 +834,21 @@
 // the same servers unwell everywhere in 1.3 s): their first turns must spread by weight, each server's too.
 func TestFirstTurnsSpreadOverAFleet(t *testing.T) {
 	const balancers, servers = 1200, 60
-	sent := map[ServerID]int{}
+	sent := map[EndpointID]int{}
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
 	for n := range balancers {
 		cfg.Index = n
 		list := ready()
-		for id := range ServerID(servers) {
-			list = append(list, Server{ID: id * 7, State: Ready, Weight: 1 + 2*float64(id%2)})
+		for id := range EndpointID(servers) {
+			list = append(list, Endpoint{ID: id * 7, State: Ready, Weight: 1 + 2*float64(id%2)})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		ask(b, 0, 1, safeClass)
 		sent[h.sends[0].to]++
 	}
 	light, heavy, most := 0, 0, 0
-	for id := range ServerID(servers) {
+	for id := range EndpointID(servers) {
 		n := sent[id*7]
 		most = max(most, n)
 		if id%2 == 0 {
@@ -866,21 +866,21 @@
 // to all of them and never learns of a hung one; together they still load all servers alike.
 func TestArcsFollowTrafficAndCoverTheList(t *testing.T) {
 	const balancers, servers = 600, 100
-	cover := map[ServerID]int{}
+	cover := map[EndpointID]int{}
 	cfg := testConfig()
 	cfg.Balancers = balancers
-	cfg.Tenants = []Tenant{{Share: 1, Quota: 9 * balancers}}
+	cfg.Tenants = []Tenant{{Weight: 1, Quota: 9 * balancers}}
 	for n := range balancers {
 		cfg.Index = n
-		var list []Server
-		for id := range ServerID(servers) {
-			list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		var list []Endpoint
+		for id := range EndpointID(servers) {
+			list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 		}
 		b, _ := start(t, cfg, list)
-		if got := len(b.arc); got != 9 { // 9 requests a second, a turn every second
+		if got := len(b.subset); got != 9 { // 9 requests a second, a turn every second
 			t.Fatalf("an arc of %d servers, want 9", got)
 		}
-		for _, s := range b.arc {
+		for _, s := range b.subset {
 			cover[s.ID]++
 		}
 	}
@@ -895,9 +895,9 @@
 	b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	for i := range 1200 { // ten times as much
 		ask(b, time.Duration(i)*10*ms, RequestID(i), safeClass)
-		end(b, time.Duration(i)*10*ms+5*ms, RequestID(i), 0, Served)
+		end(b, time.Duration(i)*10*ms+5*ms, RequestID(i), 0, Succeeded)
 	}
-	if got := len(b.arc); got != 20 {
+	if got := len(b.subset); got != 20 {
 		t.Fatalf("a busy balancer keeps to %d of 20 servers", got)
 	}
 }
@@ -908,34 +908,34 @@
 	const balancers, servers = 400, 40
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
-	cfg.Tenants = []Tenant{{Share: 1, Quota: 4 * balancers}}
+	cfg.Tenants = []Tenant{{Weight: 1, Quota: 4 * balancers}}
 	var times []time.Duration
 	for n := range balancers {
 		cfg.Index = n
 		list := ready()
-		for id := range ServerID(servers) {
-			list = append(list, Server{ID: id, State: Ready, Weight: 1})
+		for id := range EndpointID(servers) {
+			list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
-		for id := range ServerID(servers) {
+		for id := range EndpointID(servers) {
 			if id != 5 {
-				b.server(id).due = math.Inf(1) // the others are down: all would go to the cold one
+				b.endpoint(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
 			}
 		}
-		b.List(10*time.Second, ListDelta, []Server{{ID: 5, State: Ready, Weight: 1, Started: 10 * time.Second}})
+		b.UpdateEndpoints(10*time.Second, DeltaUpdate, []Endpoint{{ID: 5, State: Ready, Weight: 1, StartedAt: 10 * time.Second}})
 		for i := range 400 {
 			now := 10*time.Second + time.Duration(i)*10*ms
 			before := h.sentTo(5)
 			if i%10 == n%10 {
 				ask(b, now, RequestID(i), unsafeClass)
 				if last := h.sends[len(h.sends)-1]; last.to != 5 {
-					end(b, now, last.id, 0, Served)
+					end(b, now, last.id, 0, Succeeded)
 				}
 			}
-			b.Wake(now)
+			b.TimerFired(now)
 			if h.sentTo(5) > before {
 				times = append(times, now)
-				end(b, now, RequestID(i), 0, Served)
+				end(b, now, RequestID(i), 0, Succeeded)
 			}
 		}
 	}
@@ -961,7 +961,7 @@
 func inOrder(settle time.Duration) Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
-	cfg.Classes[0].InOrder, cfg.OrderSettle, cfg.Slots = true, settle, 20
+	cfg.Classes[0].OrderedByKey, cfg.OrderingDelay, cfg.Slots = true, settle, 20
 	return cfg
 }
 
@@ -969,29 +969,29 @@
 func TestRequestsOfOneKeyGoInTurn(t *testing.T) {
 	b, h := start(t, inOrder(100*ms), ready(1, 2, 3))
 	for id := range RequestID(3) {
-		b.Request(0, Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, Key: 9, Timeout: 2 * time.Second})
 	}
-	b.Request(0, Request{ID: 3, Key: 8, Left: 2 * time.Second})
-	b.Request(0, Request{ID: 4, Left: 2 * time.Second})
+	b.Request(0, Request{ID: 3, Key: 8, Timeout: 2 * time.Second})
+	b.Request(0, Request{ID: 4, Timeout: 2 * time.Second})
 	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4}) {
 		t.Fatalf("sent %v, want the first of each key", got)
 	}
-	end(b, 10*ms, 0, 0, TurnedAway) // its own further try is not delayed, and nothing passes it
-	end(b, 20*ms, 0, 1, Served)
+	end(b, 10*ms, 0, 0, Rejected) // its own further try is not delayed, and nothing passes it
+	end(b, 20*ms, 0, 1, Succeeded)
 	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1}) {
 		t.Fatalf("sent %v, want 0 again and then 1", got)
 	}
-	b.ClientGone(30*ms, 1)
-	b.Wake(40 * ms)
+	b.ClientDisconnected(30*ms, 1)
+	b.TimerFired(40 * ms)
 	if got := sentIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the attempt of 1 is still out", got)
 	}
 	end(b, 50*ms, 1, 0, Cancelled)
-	b.Wake(140 * ms)
+	b.TimerFired(140 * ms)
 	if got := sentIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the cancelled attempt may still run", got)
 	}
-	b.Wake(160 * ms)
+	b.TimerFired(160 * ms)
 	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1, 2}) {
 		t.Fatalf("sent %v, want 2 once the key has rested", got)
 	}
@@ -1003,13 +1003,13 @@
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
 	b, h := start(t, cfg, ready(1, 2))
 	for id := range RequestID(2) {
-		b.Request(0, Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, Key: 9, Timeout: 2 * time.Second})
 	}
 	for id := RequestID(2); b.Counters().Queued < 2; id++ {
-		b.Request(0, Request{ID: id, Left: 2 * time.Second})
+		b.Request(0, Request{ID: id, Timeout: 2 * time.Second})
 	}
 	n := len(h.sends)
-	end(b, ms, h.sends[n-1].id, 0, Served)
+	end(b, ms, h.sends[n-1].id, 0, Succeeded)
 	if len(h.sends) != n+1 || h.sends[n].id == 1 {
 		t.Fatalf("sends %+v, want the one behind the key", h.sends[n:])
 	}
@@ -1025,15 +1025,15 @@
 // Rule 6: further attempts stay within the budget of their own window.
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
-	cfg.Budget = RetryBudget{Span: time.Second, Free: 1, Share: 0.5}
+	cfg.RetryBudget = RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5}
 	b, h := start(t, cfg, ready(1, 2, 3))
 	try := func(now time.Duration, id RequestID, class int) int {
 		n := len(h.sends)
 		forgetAsked(b)
 		ask(b, now, id, class)
-		end(b, now, id, 0, TurnedAway)
+		end(b, now, id, 0, Rejected)
 		if len(h.sends) > n+1 {
-			end(b, now, id, 1, Served)
+			end(b, now, id, 1, Succeeded)
 		}
 		return len(h.sends) - n
 	}
@@ -1057,12 +1057,12 @@
 	for _, c := range []struct {
 		budget RetryBudget
 		want   int
-	}{{RetryBudget{Span: time.Second}, 1}, {RetryBudget{}, 2}} {
+	}{{RetryBudget{Interval: time.Second}, 1}, {RetryBudget{}, 2}} {
 		cfg := testConfig()
-		cfg.Budget = c.budget
+		cfg.RetryBudget = c.budget
 		b, h := start(t, cfg, ready(1, 2, 3))
 		ask(b, 0, 1, safeClass)
-		end(b, 0, 1, 0, TurnedAway)
+		end(b, 0, 1, 0, Rejected)
 		if len(h.sends) != c.want {
 			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
 		}
@@ -1072,23 +1072,23 @@
 // Rule 7: idle connections are closed at the notice, after each later outcome, and once more.
 func TestConnectionsToDrainingServersAreClosed(t *testing.T) {
 	cfg := testConfig()
-	cfg.CloseWithin = 300 * ms
+	cfg.DrainCloseTimeout = 300 * ms
 	b, h := start(t, cfg, ready(1))
 	ask(b, 0, 1, safeClass)
-	b.List(10*ms, ListDelta, []Server{{ID: 1, State: Draining}})
+	b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
 	}
-	end(b, 400*ms, 1, 0, Served)
+	end(b, 400*ms, 1, 0, Succeeded)
 	if len(h.closes) != 2 {
 		t.Fatalf("%d closes after the outcome", len(h.closes))
 	}
-	b.Wake(700*ms - 1)
+	b.TimerFired(700*ms - 1)
 	if len(h.closes) != 3 {
 		t.Fatalf("%d closes within the time", len(h.closes))
 	}
 	b, h = start(t, testConfig(), ready(1))
-	b.List(10*ms, ListDelta, []Server{{ID: 1, State: Draining}})
+	b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
 	if len(h.closes) != 0 {
 		t.Fatal("closed though no time is set")
 	}
@@ -1096,10 +1096,10 @@
 
 // Guards against: a server that fails what it gets, for whatever reason, keeps its turns, or never gets them back.
 func TestStrainedServerLosesTurnsAndComesBack(t *testing.T) {
-	for _, ending := range []Ending{Errored, TurnedAway, NoConnection, Broken, TimedOut} {
+	for _, ending := range []Result{ServerError, Rejected, ConnectFailed, ConnectionLost, TimedOut} {
 		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 		now, id := time.Duration(0), RequestID(0)
-		run := func(n int, bad Ending) int {
+		run := func(n int, bad Result) int {
 			before := h.sentTo(1)
 			for range n {
 				now += 50 * ms
@@ -1108,7 +1108,7 @@
 				ask(b, now, id, unsafeClass)
 				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
 					n := len(b.requests[id].attempts)
-					end(b, now+5*ms, id, n-1, map[bool]Ending{true: bad, false: Served}[h.sends[k-1].to == 1])
+					end(b, now+5*ms, id, n-1, map[bool]Result{true: bad, false: Succeeded}[h.sends[k-1].to == 1])
 					if len(h.sends) == k {
 						break
 					}
@@ -1119,8 +1119,8 @@
 		if n := run(400, ending); n > 40 {
 			t.Errorf("ending %d: a server that only fails got %d of 400 sends, evenly 100", ending, n)
 		}
-		run(200, Served)
-		if n := run(100, Served); n < 12 {
+		run(200, Succeeded)
+		if n := run(100, Succeeded); n < 12 {
 			t.Errorf("ending %d: well again it got %d of 100 sends, evenly 25", ending, n)
 		}
 	}
@@ -1128,7 +1128,7 @@
 
 // Guards against incident i47e131: a thousand balancers with a slot each go on sending what comes back late.
 func TestAdmissionFollowsAnswersInTime(t *testing.T) {
-	sent := func(end1 Ending, took time.Duration) int {
+	sent := func(end1 Result, took time.Duration) int {
 		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 		for id := range RequestID(200) {
 			now := time.Duration(id) * 500 * ms
@@ -1140,10 +1140,10 @@
 		}
 		return len(h.sends)
 	}
-	if n := sent(Served, 100*ms); n != 200 {
+	if n := sent(Succeeded, 100*ms); n != 200 {
 		t.Errorf("%d of 200 sent while all are answered in time", n)
 	}
-	if n := sent(Served, 1500*ms); n > 150 { // incident id1dbbf: late answers are no sign of room
+	if n := sent(Succeeded, 1500*ms); n > 150 { // incident id1dbbf: late answers are no sign of room
 		t.Errorf("%d of 200 sent while all are answered late", n)
 	}
 	if n := sent(TimedOut, time.Second); n > 120 || n < 20 {
@@ -1157,7 +1157,7 @@
 	for id := range RequestID(300) {
 		now := time.Duration(id) * 100 * ms
 		ask(b, now, id, unsafeClass)
-		end(b, now+50*ms, id, 0, map[bool]Ending{true: Errored, false: Served}[id%10 == 9])
+		end(b, now+50*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[id%10 == 9])
 	}
 	if len(h.sends) != 300 {
 		t.Fatalf("%d of 300 sent", len(h.sends))
@@ -1168,11 +1168,11 @@
 func TestAdmissionShedsTheLessWorthyFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 4
+	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 4
 	b, _ := start(t, cfg, ready(1, 2))
 	var let [2]int
 	for i := range 2000 {
-		b.classes[0].asked, b.classes[1].asked = recent{all: 20, good: 8}, recent{all: 20, good: 8}
+		b.classes[0].recent, b.classes[1].recent = recentRequests{offered: 20, goodput: 8}, recentRequests{offered: 20, goodput: 8}
 		if b.admit(0, &request{class: &b.classes[i%2]}) {
 			let[i%2]++
 		}
@@ -1188,7 +1188,7 @@
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots, cfg.MaxAttempts = 1, 100, 1
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 8
+	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8))
 	const step, bad, well, until = 25 * ms, 5 * time.Second, 17 * time.Second, 20 * time.Second
 	id := RequestID(0)
@@ -1199,7 +1199,7 @@
 		if len(h.sends) == n {
 			return false
 		}
-		end(b, now+10*ms, id, 0, map[bool]Ending{true: Errored, false: Served}[now < bad])
+		end(b, now+10*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[now < bad])
 		return true
 	}
 	lately, shut := 0, 0
@@ -1229,9 +1229,9 @@
 func TestWorthyRequestTakesAPlaceInTheQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[1].Worth = 8
+	cfg.Classes[1].PriorityWeight = 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.parts[0].slots, b.parts[0].places = 1, 2
+	b.bulkheads[0].slots, b.bulkheads[0].queueCapacity = 1, 2
 	ask(b, 0, 1, 0) // has the slot
 	ask(b, 0, 2, 0)
 	ask(b, 0, 3, 0) // the queue is full
@@ -1243,11 +1243,11 @@
 	if _, refused := h.refused[5]; !refused {
 		t.Fatal("one of little worth was let into a full queue")
 	}
-	end(b, 10*ms, 1, 0, Served)
+	end(b, 10*ms, 1, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 4 {
 		t.Fatalf("request %d has the free slot, want the worthiest, 4", last.id)
 	}
-	end(b, 20*ms, 4, 0, Served)
+	end(b, 20*ms, 4, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 2 {
 		t.Fatalf("request %d has the free slot, want the one that waited, 2", last.id)
 	}
@@ -1257,12 +1257,12 @@
 // this try as for the first, but not for the answer. Others' repeats and first tries are not its own.
 func TestRepeatIsLateByItsFirstTry(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat, cfg.MaxAttempts = true, 1
+	cfg.ClientsMarkRetries, cfg.MaxAttempts = true, 1
 	b, h := start(t, cfg, ready(1, 2))
-	b.crowd = 4 // crowded: what is late is refused
+	b.congestion = 4 // crowded: what is late is refused
 	try := func(now time.Duration, id RequestID, key uint64, repeat bool) (sent bool) {
 		n := len(h.sends)
-		b.Request(now, Request{ID: id, Class: safeClass, Key: key, Left: 2 * time.Second, Repeat: repeat})
+		b.Request(now, Request{ID: id, Class: safeClass, Key: key, Timeout: 2 * time.Second, ClientRetry: repeat})
 		return len(h.sends) > n
 	}
 	if !try(0, 1, 7, false) {
@@ -1273,20 +1273,20 @@
 	if !try(951*ms, 2, 8, true) {
 		t.Error("a repeat of something else was taken for late")
 	}
-	end(b, 960*ms, 2, 0, Served)
+	end(b, 960*ms, 2, 0, Succeeded)
 	if !try(961*ms, 3, 7, false) {
 		t.Error("a first try was taken for late")
 	}
-	end(b, 970*ms, 3, 0, Served)
-	b.crowd = 4
-	if try(971*ms, 4, 7, true) || b.Counters().Late != 1 {
-		t.Errorf("a repeat whose aim is as good as gone was sent, late %d", b.Counters().Late)
+	end(b, 970*ms, 3, 0, Succeeded)
+	b.congestion = 4
+	if try(971*ms, 4, 7, true) || b.Counters().ExpiredRetries != 1 {
+		t.Errorf("a repeat whose aim is as good as gone was sent, late %d", b.Counters().ExpiredRetries)
 	}
 	if now := 4 * time.Second; !try(now, 5, 7, true) {
 		t.Error("what was given up long ago still makes repeats late")
 	}
-	if len(b.gaveUp) > 1 {
-		t.Errorf("%d requests given up long ago are still remembered", len(b.gaveUp))
+	if len(b.abandoned) > 1 {
+		t.Errorf("%d requests given up long ago are still remembered", len(b.abandoned))
 	}
 }
 
@@ -1294,19 +1294,19 @@
 // too late to earn any, and nothing is left to grow by.
 func TestLateRepeatsTakeNoAdmission(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.crowd = 4
-	before := recent{all: 40, good: 1}
-	b.classes[safeClass].asked = before
+	b.congestion = 4
+	before := recentRequests{offered: 40, goodput: 1}
+	b.classes[safeClass].recent = before
 	for id := range RequestID(50) {
-		b.gaveUp = append(b.gaveUp, givenUp{&b.classes[safeClass], &b.parts[0], 7, 0, 2 * time.Second})
-		b.Request(2*time.Second, Request{ID: id, Class: safeClass, Key: 7, Left: 2 * time.Second, Repeat: true})
+		b.abandoned = append(b.abandoned, abandonedRequest{&b.classes[safeClass], &b.bulkheads[0], 7, 0, 2 * time.Second})
+		b.Request(2*time.Second, Request{ID: id, Class: safeClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
 	}
-	if c := b.Counters(); c.Late != 50 || c.Throttled != 0 || len(h.refused) != 50 {
-		t.Errorf("%d of 50 refused at once as late, %d throttled", c.Late, c.Throttled)
+	if c := b.Counters(); c.ExpiredRetries != 50 || c.Shed != 0 || len(h.refused) != 50 {
+		t.Errorf("%d of 50 refused at once as late, %d throttled", c.ExpiredRetries, c.Shed)
 	}
-	if got := b.classes[safeClass].asked; got != before {
+	if got := b.classes[safeClass].recent; got != before {
 		t.Errorf("admission counts %+v, want %+v as before", got, before)
 	}
 }
@@ -1314,29 +1314,29 @@
 // What is remembered of requests given up is bounded.
 func TestGivenUpRequestsAreBounded(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, _ := start(t, cfg, nil)
-	for id := range RequestID(3 * givenUpMost) {
-		b.Request(0, Request{ID: id, Class: safeClass, Key: uint64(id) + 1, Left: time.Second})
+	for id := range RequestID(3 * maxAbandoned) {
+		b.Request(0, Request{ID: id, Class: safeClass, Key: uint64(id) + 1, Timeout: time.Second})
 	}
-	if n := len(b.gaveUp); n > givenUpMost || n < givenUpMost/2 {
-		t.Fatalf("%d remembered, want at most %d", n, givenUpMost)
+	if n := len(b.abandoned); n > maxAbandoned || n < maxAbandoned/2 {
+		t.Fatalf("%d remembered, want at most %d", n, maxAbandoned)
 	}
 }
 
 // Guards against a zone with more traffic than its own servers can bear; crossing has a price, so near ones lead.
 func TestFarServersHaveFewerTurns(t *testing.T) {
 	cfg := testConfig()
-	cfg.CrossZonePrice, cfg.Zone = 0.02, 1
+	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := ready(1, 2, 3, 4)
 	list[2].Zone, list[3].Zone = 1, 1
 	b, h := start(t, cfg, list)
 	for id := range RequestID(300) {
 		ask(b, time.Duration(id)*20*ms, id, safeClass)
-		end(b, time.Duration(id)*20*ms+5*ms, id, 0, Served)
+		end(b, time.Duration(id)*20*ms+5*ms, id, 0, Succeeded)
 	}
-	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().Crossed != uint64(far) {
-		t.Fatalf("%d of 300 sends crossed, %d counted; want a fifth", far, b.Counters().Crossed)
+	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().CrossZoneSends != uint64(far) {
+		t.Fatalf("%d of 300 sends crossed, %d counted; want a fifth", far, b.Counters().CrossZoneSends)
 	}
 }
 
@@ -1344,17 +1344,17 @@
 func TestStaleReportsDoNotSteer(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.MayProbe, cfg.Reports = true, HasInFlight|HasBusy
+		cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight|HasUtilization
 		b, h := start(t, cfg, ready(1, 2, 3))
 		seen := 0
 		for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
-			b.Wake(now)
+			b.TimerFired(now)
 			for ; seen < len(h.probes); seen++ {
-				l := Load{Has: cfg.Reports, InFlight: 1, Busy: now.Seconds()}
+				l := LoadReport{Fields: cfg.ReportFields, InFlight: 1, Utilization: now.Seconds()}
 				if stale {
-					l.Busy = 0.5
+					l.Utilization = 0.5
 				}
-				b.Probed(now, h.probes[seen], true, l)
+				b.HealthChecked(now, h.probes[seen], true, l)
 			}
 		}
 		n := len(h.probes)
@@ -1375,22 +1375,22 @@
 	end(b, 2100*ms, 2, 0, TimedOut)
 	forgetAsked(b)
 	ask(b, 3*time.Second, 3, unsafeClass)
-	end(b, 3100*ms, 3, 0, Served)
-	if b.server(1).warmAt != 3100*ms+8*time.Second || len(h.log) == 0 {
-		t.Fatalf("cold until %v, log %q", b.server(1).warmAt, h.log)
+	end(b, 3100*ms, 3, 0, Succeeded)
+	if b.endpoint(1).slowStartUntil != 3100*ms+8*time.Second || len(h.log) == 0 {
+		t.Fatalf("cold until %v, log %q", b.endpoint(1).slowStartUntil, h.log)
 	}
 }
 
 // Guards against incident i85adde: probes that fail tell nothing, and sampling went on for ever.
 func TestSamplingEndsWhereProbesFail(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3))
 	seen := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 		for ; seen < len(h.probes); seen++ {
-			b.Probed(now, h.probes[seen], false, Load{})
+			b.HealthChecked(now, h.probes[seen], false, LoadReport{})
 		}
 	}
 	if len(h.probes) > 2*pairsMost {
@@ -1402,18 +1402,18 @@
 func TestGateKeepsTheFirstRule(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1))
 	for name, r := range map[string]*request{
-		"over":    {over: true, deadline: time.Second},
-		"begun":   {begun: true, deadline: time.Second},
+		"over":    {closed: true, deadline: time.Second},
+		"begun":   {streaming: true, deadline: time.Second},
 		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, out: 1},
+		"out":     {deadline: time.Second, inFlight: 1},
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[safeClass]
-		if b.mayGo(100*ms, r, b.servers[0]) {
+		if b.eligible(100*ms, r, b.endpoints[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.mayGo(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
+	if !b.eligible(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.endpoints[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
@@ -1422,21 +1422,21 @@
 // server of the arc full, and all send to it all the same.
 func TestArcsGrowWhereReportsAreFresh(t *testing.T) {
 	cfg := testConfig()
-	cfg.MayProbe, cfg.Reports = true, HasInFlight|HasBusy
+	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight|HasUtilization
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
-	b.rate, b.rateAt = 4, 0
-	b.cut()
-	short := len(b.arc)
+	b.requestRate, b.requestRateAt = 4, 0
+	b.selectSubset()
+	short := len(b.subset)
 	for seen, now := 0, time.Duration(0); now < time.Second; now += 10 * ms {
-		b.Wake(now)
+		b.TimerFired(now)
 		for ; seen < len(h.probes); seen++ {
-			b.Probed(now, h.probes[seen], true, Load{Has: cfg.Reports, InFlight: 1, Busy: now.Seconds()})
+			b.HealthChecked(now, h.probes[seen], true, LoadReport{Fields: cfg.ReportFields, InFlight: 1, Utilization: now.Seconds()})
 		}
 	}
-	b.rate, b.rateAt = 4, time.Second
+	b.requestRate, b.requestRateAt = 4, time.Second
 	ask(b, time.Second, 1, safeClass)
-	if len(b.arc) < 2*short {
-		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.arc), short)
+	if len(b.subset) < 2*short {
+		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.subset), short)
 	}
 }
 
@@ -1446,11 +1446,11 @@
 	for _, strained := range []bool{false, true} {
 		b, _ := start(t, testConfig(), ready(1))
 		if strained {
-			b.server(1).strain = failStrain
+			b.endpoint(1).relativeLatency = failStrain
 		}
 		ask(b, 0, 1, unsafeClass)
 		end(b, time.Second, 1, 0, TimedOut)
-		if crowd := b.crowd > 0; crowd == strained {
+		if crowd := b.congestion > 0; crowd == strained {
 			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
 		}
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -20,15 +20,15 @@
 	next    RequestID
 	held    map[RequestID]*asked
 	order   []RequestID // ids of held, in order, so that a run can be repeated
-	listed  map[ServerID]Server
+	listed  map[EndpointID]Endpoint
 	trace   []string
 	watches int
 	taken   []time.Duration // requests, for the budget
 	more    []time.Duration // further attempts
 	calm    bool            // the list changes seldom
 	rests   map[uint64]time.Duration
-	colds   map[ServerID][]time.Duration // sends to a server that is cold, since it was listed so
-	closing map[ServerID]time.Duration   // when idle connections must be closed, by server
+	colds   map[EndpointID][]time.Duration // sends to a server that is cold, since it was listed so
+	closing map[EndpointID]time.Duration   // when idle connections must be closed, by server
 }
 
 // asked is what the world knows of one request.
@@ -41,15 +41,15 @@
 }
 
 type tried struct {
-	to   Server
+	to   Endpoint
 	sent time.Duration
-	end  Ending
+	end  Result
 	out  bool
 }
 
 func (a *asked) mayHaveRun() *tried {
 	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != TurnedAway && e != NoConnection && e != NotSent) {
+		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != ConnectFailed && e != NotSent) {
 			return &a.tries[i]
 		}
 	}
@@ -60,7 +60,7 @@
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id RequestID, to ServerID, timeout, _ time.Duration) {
+func (w *world) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
 	w.note("send %d %d %v", id, to, timeout)
 	a, s := w.held[id], w.listed[to]
 	switch {
@@ -76,12 +76,12 @@
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
-		case class.Effect == Unsafe:
+		case class.Idempotency == NonIdempotent:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Effect == Keyed && w.now-first.sent >= class.Window:
+		case class.Idempotency == IdempotentByKey && w.now-first.sent >= class.DedupWindow:
 			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Effect == Keyed && class.Scope == ScopeZone && s.Zone != first.to.Zone,
-			class.Effect == Keyed && class.Scope == ScopeCell && s.Cell != first.to.Cell:
+		case class.Idempotency == IdempotentByKey && class.DedupScope == DedupInZone && s.Zone != first.to.Zone,
+			class.Idempotency == IdempotentByKey && class.DedupScope == DedupInCell && s.Cell != first.to.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
@@ -90,21 +90,21 @@
 	if out := a.out(); out > 0 { // no setting that allows two is known to the module
 		w.t.Fatalf("rule 2: request %d sent while %d of its attempts are out", id, out)
 	}
-	if b := w.cfg.Budget; len(a.tries) > 0 && b.Span > 0 {
+	if b := w.cfg.RetryBudget; len(a.tries) > 0 && b.Interval > 0 {
 		w.more = append(w.more, w.now)
 		n, taken := 0, 0
 		for _, t := range w.more {
-			if t >= w.now-b.Span {
+			if t >= w.now-b.Interval {
 				n++
 			}
 		}
 		for _, t := range w.taken {
-			if t > w.now-b.Span {
+			if t > w.now-b.Interval {
 				taken++
 			}
 		}
-		if float64(n) > b.Free+b.Share*float64(taken)+1e-6 {
-			w.t.Fatalf("rule 6: %d further attempts in %v, in which %d requests were taken", n, b.Span, taken)
+		if float64(n) > b.MinRetries+b.RetryRatio*float64(taken)+1e-6 {
+			w.t.Fatalf("rule 6: %d further attempts in %v, in which %d requests were taken", n, b.Interval, taken)
 		}
 	}
 	a.tries = append(a.tries, tried{to: s, sent: w.now, out: true})
@@ -121,9 +121,9 @@
 }
 
 // cold checks this balancer's part of a cold server's budget, of which it may have an even one at most.
-func (w *world) cold(s Server) {
-	age := w.now - s.Started
-	if s.Started == 0 || age >= w.cfg.ColdTime {
+func (w *world) cold(s Endpoint) {
+	age := w.now - s.StartedAt
+	if s.StartedAt == 0 || age >= w.cfg.SlowStartDuration {
 		return
 	}
 	w.colds[s.ID] = append(w.colds[s.ID], w.now)
@@ -137,15 +137,17 @@
 	for _, t := range w.cfg.Tenants {
 		quota += t.Quota
 	}
-	warmth := w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*float64(age)/float64(w.cfg.ColdTime)
-	if most := 1 + w.cfg.ColdMultiple*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
+	warmth := w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*float64(age)/float64(w.cfg.SlowStartDuration)
+	if most := 1 + w.cfg.OverloadFactor*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
 		w.t.Fatalf("rule 4: %d sends in a second to server %d, cold for %v, at most %.1f", n, s.ID, age, most)
 	}
 }
 
 // order5 checks the order of a key at a send.
 func (w *world) order5(a *asked) {
-	ordered := func(o *asked) bool { return w.cfg.Classes[o.q.Class].InOrder && o.q.Key == a.q.Key && a.q.Key != 0 }
+	ordered := func(o *asked) bool {
+		return w.cfg.Classes[o.q.Class].OrderedByKey && o.q.Key == a.q.Key && a.q.Key != 0
+	}
 	if !ordered(a) {
 		return
 	}
@@ -170,9 +172,9 @@
 }
 
 // mustClose starts that time anew: an event at a server that drains.
-func (w *world) mustClose(id ServerID) {
-	if w.cfg.CloseWithin > 0 && w.listed[id].State == Draining {
-		w.closing[id] = w.now + w.cfg.CloseWithin
+func (w *world) mustClose(id EndpointID) {
+	if w.cfg.DrainCloseTimeout > 0 && w.listed[id].State == Draining {
+		w.closing[id] = w.now + w.cfg.DrainCloseTimeout
 	}
 }
 
@@ -188,11 +190,11 @@
 	return a
 }
 
-func (w *world) Refuse(id RequestID, pause time.Duration) {
+func (w *world) Reject(id RequestID, pause time.Duration) {
 	w.note("refuse %d %v", id, pause)
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll) {
+	if a.mayHaveRun() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -202,34 +204,34 @@
 
 func (w *world) Fail(id RequestID)                { w.note("fail %d", id); w.answer(id) }
 func (w *world) Cancel(id RequestID, attempt int) { w.note("cancel %d %d", id, attempt) }
-func (w *world) Wake(d time.Duration)             { w.note("wake %v", d) }
-func (w *world) Probe(to ServerID)                { w.note("probe %d", to) }
-func (w *world) Tell(n News)                      { w.note("tell %+v", n) }
-func (w *world) Close(to ServerID)                { w.note("close %d", to); delete(w.closing, to) }
-func (w *world) WatchList()                       { w.note("watch"); w.watches++ }
+func (w *world) SetTimer(d time.Duration)         { w.note("wake %v", d) }
+func (w *world) HealthCheck(to EndpointID)        { w.note("probe %d", to) }
+func (w *world) Broadcast(n GossipMessage)        { w.note("tell %+v", n) }
+func (w *world) CloseIdle(to EndpointID)          { w.note("close %d", to); delete(w.closing, to) }
+func (w *world) WatchEndpoints()                  { w.note("watch"); w.watches++ }
 func (w *world) Log(line string)                  { w.note("log %s", line) }
 
 // drive runs a world; pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
-	cfg.AskList, cfg.MayProbe = true, true
-	cfg.Reports = []LoadFields{0, HasInFlight, HasInFlight | HasBusy, HasBusy | HasService}[pick(4)]
+	cfg.PollsEndpoints, cfg.CanHealthCheck = true, true
+	cfg.ReportFields = []ReportFields{0, HasInFlight, HasInFlight | HasUtilization, HasUtilization | HasServiceTime}[pick(4)]
 	cfg.Balancers = []int{2, 50}[pick(2)]
-	cfg.CloseWithin = time.Duration(pick(2)) * 100 * ms
-	cfg.OrderSettle = time.Duration(pick(3)) * 50 * ms
+	cfg.DrainCloseTimeout = time.Duration(pick(2)) * 100 * ms
+	cfg.OrderingDelay = time.Duration(pick(3)) * 50 * ms
 	cfg.Slots = []int{0, 8, 40}[pick(3)]
 	if pick(2) == 0 {
-		cfg.Budget = RetryBudget{Span: time.Second, Free: float64(pick(3)), Share: float64(pick(3)) / 5}
+		cfg.RetryBudget = RetryBudget{Interval: time.Second, MinRetries: float64(pick(3)), RetryRatio: float64(pick(3)) / 5}
 	}
 	for i := range cfg.Classes {
-		cfg.Classes[i].InOrder = pick(2) == 0
+		cfg.Classes[i].OrderedByKey = pick(2) == 0
 	}
-	cfg.CrossZonePrice = float64(pick(2)) * 0.02
-	cfg.MayTell = pick(2) == 0
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[ServerID]Server{}, now: time.Hour}
-	w.colds = map[ServerID][]time.Duration{}
+	cfg.CrossZoneCost = float64(pick(2)) * 0.02
+	cfg.CanGossip = pick(2) == 0
+	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[EndpointID]Endpoint{}, now: time.Hour}
+	w.colds = map[EndpointID][]time.Duration{}
 	w.calm = pick(2) == 0
-	w.rests, w.closing = map[uint64]time.Duration{}, map[ServerID]time.Duration{}
+	w.rests, w.closing = map[uint64]time.Duration{}, map[EndpointID]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
 		t.Fatal(err)
@@ -244,7 +246,7 @@
 	for range 600 { // everything left is answered in time
 		w.now += 5 * ms
 		w.timeouts()
-		b.Wake(w.now)
+		b.TimerFired(w.now)
 		w.account()
 		w.drains()
 	}
@@ -253,47 +255,47 @@
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
 	}
-	if len(b.requests) != 0 || b.out != 0 {
-		t.Fatalf("%d requests and %d attempts are still held", len(b.requests), b.out)
+	if len(b.requests) != 0 || b.inFlight != 0 {
+		t.Fatalf("%d requests and %d attempts are still held", len(b.requests), b.inFlight)
 	}
 	return w.trace
 }
 
 func (w *world) step(pick func(int) int) {
 	w.now += time.Duration(pick(8)) * ms
-	if w.cfg.MayTell && pick(4) == 0 { // true or false, it must not break a rule
+	if w.cfg.CanGossip && pick(4) == 0 { // true or false, it must not break a rule
 		figure := func() float64 {
 			return []float64{0, 1, 40, 4, 1e9, -1, math.NaN(), math.Inf(1)}[pick(8)]
 		}
 		at := w.now + []time.Duration{0, -ms, -time.Hour, time.Hour}[pick(4)]
-		w.b.Heard(w.now, pick(60)-5, News{At: at, Rate: figure(), Answers: figure(), Crowd: figure()})
+		w.b.ReceiveGossip(w.now, pick(60)-5, GossipMessage{SentAt: at, RequestRate: figure(), Responses: figure(), Congestion: figure()})
 	}
 	w.timeouts()
 	switch pick(10) {
 	case 0, 1, 2:
 		w.next++
 		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
-		q.Left = time.Duration(1+pick(2000)) * ms
+		q.Timeout = time.Duration(1+pick(2000)) * ms
 		q.Key = uint64(pick(4))
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Left, turn: int(w.next)}
+		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Timeout, turn: int(w.next)}
 		w.taken = append(w.taken, w.now)
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
 		w.finish(pick)
 	case 6:
-		w.b.Wake(w.now)
+		w.b.TimerFired(w.now)
 	case 7:
 		if !w.calm || len(w.listed) == 0 || pick(30) == 0 {
 			w.list(pick)
 		}
 	case 8:
-		w.b.Probed(w.now, ServerID(pick(8)), pick(2) == 0, w.load(pick(200)))
+		w.b.HealthChecked(w.now, EndpointID(pick(8)), pick(2) == 0, w.load(pick(200)))
 	case 9:
 		if len(w.order) > 0 {
 			if id := w.order[pick(len(w.order))]; !w.held[id].answered {
 				w.held[id].answered = true
-				w.b.ClientGone(w.now, id)
+				w.b.ClientDisconnected(w.now, id)
 			}
 		}
 	}
@@ -308,29 +310,29 @@
 		id := w.order[pick(len(w.order))]
 		for i := range w.held[id].tries {
 			if w.held[id].tries[i].out {
-				w.end(id, i, []Ending{Served, Errored, TurnedAway, NoConnection, Broken, Cancelled, NotSent}[pick(7)])
+				w.end(id, i, []Result{Succeeded, ServerError, Rejected, ConnectFailed, ConnectionLost, Cancelled, NotSent}[pick(7)])
 				return
 			}
 		}
 	}
 }
 
-func (w *world) end(id RequestID, i int, e Ending) {
+func (w *world) end(id RequestID, i int, e Result) {
 	a := w.held[id]
 	a.tries[i].out, a.tries[i].end = false, e
-	settled := a.answered || e == Served
+	settled := a.answered || e == Succeeded
 	a.answered = settled
-	if w.cfg.Classes[a.q.Class].InOrder && (e == TimedOut || e == Broken || e == Cancelled) {
-		w.rests[a.q.Key] = w.now + w.cfg.OrderSettle
+	if w.cfg.Classes[a.q.Class].OrderedByKey && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
+		w.rests[a.q.Key] = w.now + w.cfg.OrderingDelay
 	}
 	w.mustClose(a.tries[i].to.ID)
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Ending: e, Settled: settled, Load: w.load(int(id))})
+	w.b.Outcome(w.now, Outcome{RequestID: id, Attempt: i, Result: e, Answered: settled, Report: w.load(int(id))})
 }
 
 // timeouts ends the attempts whose request's deadline has come, and wakes the
 // Balancer as its timers would.
 func (w *world) timeouts() {
-	w.b.Wake(w.now)
+	w.b.TimerFired(w.now)
 	for _, id := range w.order {
 		for i := range w.held[id].tries {
 			if a := w.held[id]; a.tries[i].out && w.now >= a.deadline {
@@ -341,53 +343,53 @@
 }
 
 func (w *world) list(pick func(int) int) {
-	entry := func() Server {
-		id := ServerID(pick(8))
-		s := Server{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: State(pick(3)), Weight: float64(pick(4))}
+	entry := func() Endpoint {
+		id := EndpointID(pick(8))
+		s := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: EndpointState(pick(3)), Weight: float64(pick(4))}
 		s.Cell += s.Zone // no two zones share a cell
 		if pick(4) == 0 {
-			s.Started = w.now - time.Duration(pick(10000))*ms
+			s.StartedAt = w.now - time.Duration(pick(10000))*ms
 		}
 		return s
 	}
-	kind := ListKind(pick(4))
-	if kind == ListFailed {
-		w.b.List(w.now, kind, nil)
+	kind := UpdateKind(pick(4))
+	if kind == UpdateFailed {
+		w.b.UpdateEndpoints(w.now, kind, nil)
 		return
 	}
-	var entries []Server
+	var entries []Endpoint
 	before := maps.Clone(w.listed)
-	if kind != ListDelta {
+	if kind != DeltaUpdate {
 		clear(w.listed)
 	}
 	for range pick(8) {
 		s := entry()
-		if slices.ContainsFunc(entries, func(o Server) bool { return o.ID == s.ID }) {
+		if slices.ContainsFunc(entries, func(o Endpoint) bool { return o.ID == s.ID }) {
 			continue
 		}
 		entries = append(entries, s)
-		if old, ok := before[s.ID]; !ok || s.Started > old.Started || old.State == Gone {
+		if old, ok := before[s.ID]; !ok || s.StartedAt > old.StartedAt || old.State == Removed {
 			delete(w.colds, s.ID)
 		}
 		w.listed[s.ID] = s
 	}
-	if kind != ListDelta {
+	if kind != DeltaUpdate {
 		clear(w.closing)
 	}
 	for _, s := range entries {
 		delete(w.closing, s.ID)
 		w.mustClose(s.ID)
 	}
-	w.b.List(w.now, kind, entries)
+	w.b.UpdateEndpoints(w.now, kind, entries)
 }
 
 // load is a report of what the settings say that reports hold, now and then of nothing.
-func (w *world) load(n int) Load {
+func (w *world) load(n int) LoadReport {
 	if n%3 == 0 {
-		return Load{}
+		return LoadReport{}
 	}
-	return Load{Has: w.cfg.Reports, InFlight: float64(n % 40), Busy: float64(n%11) / 10,
-		Service: time.Duration(n%7) * 20 * ms}
+	return LoadReport{Fields: w.cfg.ReportFields, InFlight: float64(n % 40), Utilization: float64(n%11) / 10,
+		ServiceTime: time.Duration(n%7) * 20 * ms}
 }
 
 // account checks that no slot leaks and none goes below zero.
@@ -402,17 +404,17 @@
 			}
 		}
 	}
-	for i, c := range w.b.parts {
-		if c.used != used[i] || c.used > c.slots || w.b.SlotsFree(i) < 0 {
+	for i, c := range w.b.bulkheads {
+		if c.used != used[i] || c.used > c.slots || w.b.FreeSlots(i) < 0 {
 			w.t.Fatalf("compartment %d: %d of %d slots used, %d attempts out", i, c.used, c.slots, used[i])
 		}
 	}
-	if w.b.out != out {
-		w.t.Fatalf("%d attempts counted, %d out", w.b.out, out)
+	if w.b.inFlight != out {
+		w.t.Fatalf("%d attempts counted, %d out", w.b.inFlight, out)
 	}
-	for _, s := range w.b.servers {
-		if s.out < 0 {
-			w.t.Fatalf("server %d holds %d", s.ID, s.out)
+	for _, s := range w.b.endpoints {
+		if s.inFlight < 0 {
+			w.t.Fatalf("server %d holds %d", s.ID, s.inFlight)
 		}
 	}
 	if len(w.order) > 60 { // forget what is over
