--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/acceptor.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// restTime is how long a connection with no open request is left alone where room is short. Longer, and
+// minClientIdle is how long a connection with no open request is left alone where room is short. Longer, and
 // clients that take a new connection for each request and keep the old ones hold up all others.
-const restTime = 100 * time.Millisecond
+const minClientIdle = 100 * time.Millisecond
 
 // acceptor bounds how many connections clients hold: they would take the descriptors that upstreams
 // need, and accepting would end in "too many open files". At the bound the connection that has been
 // longest without a request makes room. Below it none is closed: that only crosses requests.
 type acceptor struct {
 	net.Listener
-	most int
-
-	mu    sync.Mutex
-	open  int
-	idle  list.List     // of *clientConn with no open request, longest first
-	left  chan struct{} // to be closed once none is open; nil: nobody waits for that
-	freed chan struct{} // has an item if a connection may have closed or turned idle
-	done  chan struct{}
-	once  sync.Once
+	maxConns int
+
+	mu        sync.Mutex
+	open      int
+	idle      list.List     // of *clientConn with no open request, longest first
+	allClosed chan struct{} // to be closed once none is open; nil: nobody waits for that
+	freed     chan struct{} // has an item if a connection may have closed or turned idle
+	done      chan struct{}
+	once      sync.Once
 }
 
 // clientConn is one connection of a client. Its state changes under the acceptor's lock, so that
@@ -33,19 +33,19 @@
 // unread, which its client takes as a crossing.
 type clientConn struct {
 	net.Conn
-	a      *acceptor
-	place  *list.Element // in idle; nil: a request is open, or it is closed
-	since  time.Time     // without an open request
-	closed bool
-
-	reading  bool   // net/http reads
-	behind   bool   // it has last read one byte behind a request
-	watching *watch // nil: no request waits for its answer
-	ahead    []byte // read behind a request by its watch, not yet by net/http
+	acceptor    *acceptor
+	idleElement *list.Element // in idle; nil: a request is open, or it is closed
+	idleSince   time.Time     // without an open request
+	closed      bool
+
+	reading   bool           // net/http reads
+	pipelined bool           // it has last read one byte behind a request
+	monitor   *clientMonitor // nil: no request waits for its answer
+	buffered  []byte         // read behind a request by its watch, not yet by net/http
 }
 
 func newAcceptor(l net.Listener, most int) *acceptor {
-	return &acceptor{Listener: l, most: most, freed: make(chan struct{}, 1), done: make(chan struct{})}
+	return &acceptor{Listener: l, maxConns: most, freed: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
 // Accept waits for a client, and then for room if there is none.
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	for {
-		wait, ok := a.room()
+		wait, ok := a.makeRoom()
 		if ok {
 			break
 		}
@@ -67,11 +67,11 @@
 			return nil, net.ErrClosed
 		}
 	}
-	c := &clientConn{Conn: raw, a: a, since: time.Now()}
+	c := &clientConn{Conn: raw, acceptor: a, idleSince: time.Now()}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open++
-	c.place = a.idle.PushBack(c)
+	c.idleElement = a.idle.PushBack(c)
 	return c, nil
 }
 
@@ -80,26 +80,26 @@
 func (a *acceptor) drained() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.left = make(chan struct{})
+	a.allClosed = make(chan struct{})
 	if a.open == 0 {
-		close(a.left)
+		close(a.allClosed)
 	}
-	return a.left
+	return a.allClosed
 }
 
-// room makes room for one more, or tells how long to wait before it is worth another look.
-func (a *acceptor) room() (wait time.Duration, ok bool) {
+// makeRoom makes room for one more, or tells how long to wait before it is worth another look.
+func (a *acceptor) makeRoom() (wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.open < a.most {
+	if a.open < a.maxConns {
 		return 0, true
 	}
-	wait = restTime
+	wait = minClientIdle
 	now := time.Now()
 	if e := a.idle.Front(); e != nil {
 		c := e.Value.(*clientConn)
-		if wait = restTime - now.Sub(c.since); wait <= 0 {
-			a.end(c)
+		if wait = minClientIdle - now.Sub(c.idleSince); wait <= 0 {
+			a.release(c)
 			c.Conn.Close()
 			return 0, true
 		}
@@ -107,39 +107,39 @@
 	return wait, false
 }
 
-// end takes a connection off the books. The caller holds the lock.
-func (a *acceptor) end(c *clientConn) {
+// release takes a connection off the books. The caller holds the lock.
+func (a *acceptor) release(c *clientConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if a.open--; a.open == 0 && a.left != nil {
+	if a.open--; a.open == 0 && a.allClosed != nil {
 		select {
-		case <-a.left: // closed before
+		case <-a.allClosed: // closed before
 		default:
-			close(a.left)
+			close(a.allClosed)
 		}
 	}
-	a.busy(c)
-	a.signal()
+	a.markActive(c)
+	a.notifyFreed()
 }
 
-func (a *acceptor) busy(c *clientConn) {
-	if c.place != nil {
-		a.idle.Remove(c.place)
-		c.place = nil
+func (a *acceptor) markActive(c *clientConn) {
+	if c.idleElement != nil {
+		a.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-func (a *acceptor) signal() {
+func (a *acceptor) notifyFreed() {
 	select {
 	case a.freed <- struct{}{}:
 	default:
 	}
 }
 
-// state follows what net/http does with a connection.
-func (a *acceptor) state(raw net.Conn, s http.ConnState) {
+// connStateChanged follows what net/http does with a connection.
+func (a *acceptor) connStateChanged(raw net.Conn, s http.ConnState) {
 	c, ok := raw.(*clientConn)
 	if !ok {
 		return
@@ -149,11 +149,11 @@
 	switch {
 	case c.closed:
 	case s == http.StateActive:
-		a.busy(c)
-	case s == http.StateIdle && c.place == nil:
-		c.since = time.Now()
-		c.place = a.idle.PushBack(c)
-		a.signal()
+		a.markActive(c)
+	case s == http.StateIdle && c.idleElement == nil:
+		c.idleSince = time.Now()
+		c.idleElement = a.idle.PushBack(c)
+		a.notifyFreed()
 	}
 }
 
@@ -164,23 +164,23 @@
 
 // Read is net/http's alone. While a watch reads, it waits for what that has read.
 func (c *clientConn) Read(p []byte) (int, error) {
-	c.a.mu.Lock()
-	if w := c.watching; w != nil && w.reading {
-		c.a.mu.Unlock()
+	c.acceptor.mu.Lock()
+	if w := c.monitor; w != nil && w.reading {
+		c.acceptor.mu.Unlock()
 		<-w.ended
-		c.a.mu.Lock()
+		c.acceptor.mu.Lock()
 	}
 	c.reading = true
-	n, err := copy(p, c.ahead), error(nil)
-	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-		c.ahead = nil
+	n, err := copy(p, c.buffered), error(nil)
+	if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
+		c.buffered = nil
 	}
-	c.a.mu.Unlock()
+	c.acceptor.mu.Unlock()
 	if n == 0 {
 		n, err = c.Conn.Read(p)
 	}
-	c.a.mu.Lock()
-	defer c.a.mu.Unlock()
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
 	c.reading = false
 	if n == 0 {
 		return n, err
@@ -188,8 +188,8 @@
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	c.a.busy(c)
-	c.behind = len(p) == 1
+	c.acceptor.markActive(c)
+	c.pipelined = len(p) == 1
 	c.takeOver()
 	return n, err
 }
@@ -197,16 +197,16 @@
 // takeOver has a watch read on where net/http has stopped: it reads a single byte behind a request that waits
 // for its answer, to notice a close, and no more until it is answered. The caller holds the acceptor's lock.
 func (c *clientConn) takeOver() {
-	if c.watching != nil && c.behind && !c.reading {
-		c.watching.begin()
+	if c.monitor != nil && c.pipelined && !c.reading {
+		c.monitor.startReading()
 	}
 }
 
 func (c *clientConn) Close() error {
 	err := c.Conn.Close() // first: the books say what is free
-	c.a.mu.Lock()
-	defer c.a.mu.Unlock()
-	c.a.end(c)
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
+	c.acceptor.release(c)
 	return err
 }
 
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/clientmonitor.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// aheadLimit bounds what is read behind a request that waits for its answer. A client that sends more by
+// maxBufferedBytes bounds what is read behind a request that waits for its answer. A client that sends more by
 // then is cut off: it would take memory, and its leaving could not be seen.
-const aheadLimit = headerLimit
+const maxBufferedBytes = maxHeaderBytes
 
-// watch notices that a client closes its connection while its request waits for an answer. net/http does so
+// clientMonitor notices that a client closes its connection while its request waits for an answer. net/http does so
 // only until the client sends something behind that request: it stops reading at the first byte, and a close
 // behind that goes unseen. From there on the watch reads, and keeps what it has read for net/http.
-type watch struct {
-	c     *clientConn
+type clientMonitor struct {
+	conn  *clientConn
 	gone  chan struct{} // closed once the client has gone
 	start chan struct{} // has an item when net/http has stopped reading
 	quit  chan struct{}
@@ -33,30 +33,30 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// watchClient begins to watch the client whose request ctx is of; its body has been read. The watch must be
+// monitorClient begins to watch the client whose request ctx is of; its body has been read. The watch must be
 // stopped before the handler returns.
-func watchClient(ctx context.Context) *watch {
+func monitorClient(ctx context.Context) *clientMonitor {
 	c, _ := ctx.Value(connKey{}).(*clientConn)
-	w := &watch{
-		c: c, gone: make(chan struct{}), start: make(chan struct{}, 1), quit: make(chan struct{}), ended: make(chan struct{}),
+	w := &clientMonitor{
+		conn: c, gone: make(chan struct{}), start: make(chan struct{}, 1), quit: make(chan struct{}), ended: make(chan struct{}),
 	}
-	c.a.mu.Lock()
-	defer c.a.mu.Unlock()
-	c.watching = w
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
+	c.monitor = w
 	c.takeOver()
 	go w.run()
 	return w
 }
 
-// left tells whether the client has closed its connection or ended its sending on it, also behind bytes that nobody
+// clientClosed tells whether the client has closed its connection or ended its sending on it, also behind bytes that nobody
 // has read yet and before any goroutine has had the time to notice.
-func (w *watch) left() bool {
+func (w *clientMonitor) clientClosed() bool {
 	select {
 	case <-w.gone:
 		return true
 	default:
 	}
-	socket, ok := w.c.Conn.(syscall.Conn)
+	socket, ok := w.conn.Conn.(syscall.Conn)
 	if !ok {
 		return false // nothing is known
 	}
@@ -73,17 +73,17 @@
 	return left || err != nil // closed on our side
 }
 
-// begin has the watch read. The caller holds the acceptor's lock.
-func (w *watch) begin() {
+// startReading has the watch read. The caller holds the acceptor's lock.
+func (w *clientMonitor) startReading() {
 	select {
 	case w.start <- struct{}{}:
 	default: // it was told already
 	}
 }
 
-func (w *watch) run() {
+func (w *clientMonitor) run() {
 	defer close(w.ended)
-	for !w.enter() {
+	for !w.claimReading() {
 		select {
 		case <-w.start:
 		case <-w.quit:
@@ -92,40 +92,40 @@
 	}
 	buf := make([]byte, 4<<10)
 	for {
-		n, err := w.c.Conn.Read(buf)
-		w.c.ahead = append(w.c.ahead, buf[:n]...)
+		n, err := w.conn.Conn.Read(buf)
+		w.conn.buffered = append(w.conn.buffered, buf[:n]...)
 		select {
 		case <-w.quit: // the error may be stop's
 			return
 		default:
 		}
-		if err != nil || len(w.c.ahead) > aheadLimit {
+		if err != nil || len(w.conn.buffered) > maxBufferedBytes {
 			close(w.gone)
 			return
 		}
 	}
 }
 
-// enter makes the connection the watch's to read, if net/http does not and won't.
-func (w *watch) enter() bool {
-	w.c.a.mu.Lock()
-	defer w.c.a.mu.Unlock()
-	w.reading = w.c.watching == w && w.c.behind && !w.c.reading
+// claimReading makes the connection the watch's to read, if net/http does not and won't.
+func (w *clientMonitor) claimReading() bool {
+	w.conn.acceptor.mu.Lock()
+	defer w.conn.acceptor.mu.Unlock()
+	w.reading = w.conn.monitor == w && w.conn.pipelined && !w.conn.reading
 	return w.reading
 }
 
 // stop ends the watch. What it has read is handed to net/http before anything new.
-func (w *watch) stop() {
-	w.c.a.mu.Lock()
-	w.c.watching = nil
+func (w *clientMonitor) stop() {
+	w.conn.acceptor.mu.Lock()
+	w.conn.monitor = nil
 	close(w.quit)
 	reading := w.reading
-	w.c.a.mu.Unlock()
+	w.conn.acceptor.mu.Unlock()
 	if reading {
-		_ = w.c.SetReadDeadline(time.Unix(1, 0)) // ends the read; it fails only on a closed connection, as the read does
+		_ = w.conn.SetReadDeadline(time.Unix(1, 0)) // ends the read; it fails only on a closed connection, as the read does
 	}
 	<-w.ended
 	if reading {
-		_ = w.c.SetReadDeadline(time.Time{})
+		_ = w.conn.SetReadDeadline(time.Time{})
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -26,27 +26,27 @@
 	Discovery string // address of discovery
 	Seed      uint64
 
-	PeerListen netip.AddrPort         // where other sidecars' datagrams arrive; not valid: nowhere
-	PeersAll   netip.AddrPort         // from where one goes to all of them
-	Peers      map[netip.AddrPort]int // the number of each by the address that it sends from
+	PeerListen    netip.AddrPort         // where other sidecars' datagrams arrive; not valid: nowhere
+	PeerBroadcast netip.AddrPort         // from where one goes to all of them
+	Peers         map[netip.AddrPort]int // the number of each by the address that it sends from
 
-	MemoryMB int // the process is killed above this; 0: no limit is known
-	Sockets  int // descriptors it may hold
+	MemoryMB       int // the process is killed above this; 0: no limit is known
+	MaxDescriptors int // descriptors it may hold
 
-	Policy  policy.Config
-	Classes map[string]int // class by name
-	Tenants map[string]int // tenant by name; empty where there are none
-	Zones   map[string]int // zone by name
-	Reports []string       // names of a load report's fields, in the order of Columns
-	Columns simprotocol.Columns
+	Policy       policy.Config
+	Classes      map[string]int // class by name
+	Tenants      map[string]int // tenant by name; empty where there are none
+	Zones        map[string]int // zone by name
+	ReportFields []string       // names of a load report's fields, in the order of Columns
+	ReportFormat simprotocol.Columns
 
-	MostOpen    int           // requests held at once
-	ConnIdle    time.Duration // an upstream closes connections that stood idle so long
-	DialTimeout time.Duration
-	Longest     time.Duration // the longest deadline of any class
-	DrainGrace  time.Duration // within this, sends to a server that leaves must stop; 0: not known
+	MaxInFlight       int           // requests held at once
+	ServerIdleTimeout time.Duration // an upstream closes connections that stood idle so long
+	DialTimeout       time.Duration
+	MaxDeadline       time.Duration // the longest deadline of any class
+	DrainGrace        time.Duration // within this, sends to a server that leaves must stop; 0: not known
 
-	Known listing // the servers as last known
+	CachedEndpoints endpointUpdate // the servers as last known
 }
 
 // ReadConfig reads the file that EDGE_CONFIG names. What the environment says in EDGE_NAME,
@@ -87,22 +87,22 @@
 		return value
 	}
 	c := &Config{
-		Name:      given(file.Name, "EDGE_NAME"),
-		Listen:    given(file.Listen, "EDGE_LISTEN"),
-		Discovery: given(file.Discovery, "EDGE_DISCOVERY"),
-		MemoryMB:  int(file.Limits.MemoryMB),
-		Sockets:   int(file.Limits.Sockets),
+		Name:           given(file.Name, "EDGE_NAME"),
+		Listen:         given(file.Listen, "EDGE_LISTEN"),
+		Discovery:      given(file.Discovery, "EDGE_DISCOVERY"),
+		MemoryMB:       int(file.Limits.MemoryMB),
+		MaxDescriptors: int(file.Limits.Sockets),
 	}
 	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			return nil, fmt.Errorf("config: %s: %w", field, err)
 		}
 	}
-	if c.Sockets == 0 {
-		c.Sockets = 1024
+	if c.MaxDescriptors == 0 {
+		c.MaxDescriptors = 1024
 	}
-	if c.Sockets < 32 || c.MemoryMB < 0 {
-		return nil, fmt.Errorf("config: limits: sockets %d or memory_mb %d is too small", c.Sockets, c.MemoryMB)
+	if c.MaxDescriptors < 32 || c.MemoryMB < 0 {
+		return nil, fmt.Errorf("config: limits: sockets %d or memory_mb %d is too small", c.MaxDescriptors, c.MemoryMB)
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
@@ -115,14 +115,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := c.take(s); err != nil {
+	if err := c.applySettings(s); err != nil {
 		return nil, err
 	}
-	if err := c.takePeers(file.PeerListen, file.PeersAll, file.Peers); err != nil {
+	if err := c.applyPeers(file.PeerListen, file.PeersAll, file.Peers); err != nil {
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = parseListing(file.Known, c.Zones); err != nil {
+		if c.CachedEndpoints, err = parseEndpoints(file.Known, c.Zones); err != nil {
 			// It may be old at best, and discovery has the whole one: no reason to serve nobody.
 			slog.Error("the list of servers last known can't be used, discovery is asked for the whole", "error",
 				fmt.Errorf("config: known: %w", err))
@@ -131,8 +131,8 @@
 	return c, nil
 }
 
-// takePeers reads where the other sidecars are. Without their addresses this one goes by what it sees itself.
-func (c *Config) takePeers(listen, all string, peers []string) error {
+// applyPeers reads where the other sidecars are. Without their addresses this one goes by what it sees itself.
+func (c *Config) applyPeers(listen, all string, peers []string) error {
 	if !c.Policy.CanGossip || listen == "" || all == "" || len(peers) == 0 {
 		c.Policy.CanGossip = false
 		return nil
@@ -141,7 +141,7 @@
 	if c.PeerListen, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("config: peer_listen: %w", err)
 	}
-	if c.PeersAll, err = netip.ParseAddrPort(all); err != nil {
+	if c.PeerBroadcast, err = netip.ParseAddrPort(all); err != nil {
 		return fmt.Errorf("config: peers_all: %w", err)
 	}
 	c.Peers = make(map[netip.AddrPort]int, len(peers))
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// take reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) take(s *simprotocol.Settings) error {
+// applySettings reads the settings: the module's own, and what the sidecar needs besides.
+func (c *Config) applySettings(s *simprotocol.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -172,37 +172,37 @@
 	for i, zone := range strings.Split(s.Text("zones"), ",") {
 		c.Zones[zone] = i
 	}
-	c.Reports, c.Columns = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
-	c.MostOpen = int(s.Number("caps.max_open"))
-	c.ConnIdle = s.Duration("caps.conn_idle_ms")
+	c.ReportFields, c.ReportFormat = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
+	c.MaxInFlight = int(s.Number("caps.max_open"))
+	c.ServerIdleTimeout = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
 	c.DrainGrace = s.Duration("rules.stop_sending_within_ms")
 	for _, k := range c.Policy.Classes {
-		c.Longest = max(c.Longest, k.Deadline)
+		c.MaxDeadline = max(c.MaxDeadline, k.Deadline)
 	}
 	if err := s.Err(); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.ConnIdle, "caps.dial_timeout_ms": c.DialTimeout} {
+	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.ServerIdleTimeout, "caps.dial_timeout_ms": c.DialTimeout} {
 		if d <= 0 {
 			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
 		}
 	}
-	if c.MostOpen < 0 {
-		return fmt.Errorf("config: settings: caps.max_open is %d", c.MostOpen)
+	if c.MaxInFlight < 0 {
+		return fmt.Errorf("config: settings: caps.max_open is %d", c.MaxInFlight)
 	}
 	return nil
 }
 
-// clientConns and upstreamConns divide the descriptors: half for the application's connections, of
+// maxClientConns and upstreamConns divide the descriptors: half for the application's connections, of
 // which it may hold a third of all for requests, most of the rest for upstreams, and a reserve for
 // what is being closed and for the process itself.
-func (c *Config) clientConns() int { return c.Sockets / 2 }
+func (c *Config) maxClientConns() int { return c.MaxDescriptors / 2 }
 
-func (c *Config) upstreamConns() int { return c.Sockets * 3 / 8 }
+func (c *Config) maxServerConns() int { return c.MaxDescriptors * 3 / 8 }
 
-// bodyBytes bounds the bodies of clients that are held at once.
-func (c *Config) bodyBytes() int64 {
+// maxBodyBytes bounds the bodies of clients that are held at once.
+func (c *Config) maxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,76 +18,76 @@
 )
 
 const (
-	watchMost  = 20 * time.Second // how long discovery may hold a watch at most, and half as long at least
-	firstWait  = time.Millisecond // and the first call, from a list held since before: that is not to wait
-	listTime   = 6 * time.Second  // how long it may take over a call that is not to wait,
-	callAgain  = 2 * time.Second  // and after this another is made beside it: see fetch
-	callsMost  = 6                // so many are out at most: they take descriptors
-	firstRetry = 200 * time.Millisecond
-	lastRetry  = 2 * time.Second // with jitter, well under the 6 s after which a drain counts as told
-	listLimit  = 8 << 20         // bytes of one answer; far above any real list
+	maxWatchTime       = 20 * time.Second // how long discovery may hold a watch at most, and half as long at least
+	immediateWait      = time.Millisecond // and the first call, from a list held since before: that is not to wait
+	callTimeout        = 6 * time.Second  // how long it may take over a call that is not to wait,
+	hedgedCallInterval = 2 * time.Second  // and after this another is made beside it: see fetch
+	maxConcurrentCalls = 6                // so many are out at most: they take descriptors
+	initialBackoff     = 200 * time.Millisecond
+	maxBackoff         = 2 * time.Second // with jitter, well under the 6 s after which a drain counts as told
+	maxListBytes       = 8 << 20         // bytes of one answer; far above any real list
 
 	// A watch with no answer so long after its wait is over has fallen silent. What it missed counts as
 	// told 2 s after that wait: the rest of these is left for the call that reads it, and its turn at discovery.
-	silenceAfter = 500 * time.Millisecond
+	watchGracePeriod = 500 * time.Millisecond
 )
 
-// errSilent is a watch that discovery has not answered.
-var errSilent = errors.New("the watch has fallen silent")
+// errWatchTimeout is a watch that discovery has not answered.
+var errWatchTimeout = errors.New("the watch has fallen silent")
 
-// errUnusable is an answer that can't be read.
-var errUnusable = errors.New("the answer is unusable")
+// errInvalidResponse is an answer that can't be read.
+var errInvalidResponse = errors.New("the answer is unusable")
 
-// listing is one answer of discovery.
-type listing struct {
-	version int64
-	whole   bool
-	servers []policy.Endpoint
-	address map[policy.EndpointID]string
+// endpointUpdate is one answer of discovery.
+type endpointUpdate struct {
+	version   int64
+	complete  bool
+	endpoints []policy.Endpoint
+	addresses map[policy.EndpointID]string
 }
 
-// parseListing reads an answer. One malformed entry makes the whole answer unusable.
-func parseListing(raw []byte, zones map[string]int) (listing, error) {
+// parseEndpoints reads an answer. One malformed entry makes the whole answer unusable.
+func parseEndpoints(raw []byte, zones map[string]int) (endpointUpdate, error) {
 	l, err := hosts.Parse(raw, zones)
-	return listing{version: l.Version, whole: l.Whole, servers: l.Servers, address: l.Address}, err
+	return endpointUpdate{version: l.Version, complete: l.Whole, endpoints: l.Servers, addresses: l.Address}, err
 }
 
-// discovery follows the list of servers and hands what it learns to the loop.
-type discovery struct {
-	zones  map[string]int
-	asked  chan struct{} // where the list must be asked for: the module did
-	heard  func(listing)
-	failed func()
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
+// discoveryClient follows the list of servers and hands what it learns to the loop.
+type discoveryClient struct {
+	zones   map[string]int
+	polls   chan struct{} // where the list must be asked for: the module did
+	updated func(endpointUpdate)
+	failed  func()
+	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 
-	watch     func() time.Duration // how long the next watch may be held
-	silence   time.Duration        // and how long its answer may take besides
-	again     time.Duration        // a call with no answer for so long is made again
-	lastRetry time.Duration        // the longest pause after a failure, where lists are pushed
+	drawWatchTime func() time.Duration // how long the next watch may be held
+	watchGrace    time.Duration        // and how long its answer may take besides
+	callInterval  time.Duration        // a call with no answer for so long is made again
+	maxBackoff    time.Duration        // the longest pause after a failure, where lists are pushed
 
 	version int64 // of the list that is held, at the address that is followed; below 0: none, or not to be trusted
 
-	mu      sync.Mutex
-	address string
-	moved   context.CancelFunc // ends what is under way with the address before
-	idle    net.Conn           // kept for the next call; nil: none is
-	idleAt  string             // the address that it is to
+	mu            sync.Mutex
+	address       string
+	stopFollowing context.CancelFunc // ends what is under way with the address before
+	idle          net.Conn           // kept for the next call; nil: none is
+	idleAddress   string             // the address that it is to
 }
 
-func newDiscovery(cfg *Config, heard func(listing), failed func()) *discovery {
-	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, heard: heard, failed: failed, version: -1,
-		watch: watchTime, silence: silenceAfter, again: callAgain, lastRetry: lastRetry}
+func newDiscoveryClient(cfg *Config, heard func(endpointUpdate), failed func()) *discoveryClient {
+	d := &discoveryClient{address: cfg.Discovery, zones: cfg.Zones, updated: heard, failed: failed, version: -1,
+		drawWatchTime: watchTime, watchGrace: watchGracePeriod, callInterval: hedgedCallInterval, maxBackoff: maxBackoff}
 	if cfg.DrainGrace > 0 { // where lists are pushed, what has changed counts as told at once
-		d.lastRetry = min(d.lastRetry, cfg.DrainGrace/4)
+		d.maxBackoff = min(d.maxBackoff, cfg.DrainGrace/4)
 	}
 	if !cfg.Policy.PollsEndpoints {
-		d.again = min(d.again, 2*d.lastRetry)
+		d.callInterval = min(d.callInterval, 2*d.maxBackoff)
 	}
-	if len(cfg.Known.servers) > 0 {
-		d.version = cfg.Known.version
+	if len(cfg.CachedEndpoints.endpoints) > 0 {
+		d.version = cfg.CachedEndpoints.version
 	}
 	if cfg.Policy.PollsEndpoints {
-		d.asked = make(chan struct{}, 1)
+		d.polls = make(chan struct{}, 1)
 	}
 	d.dial = (&net.Dialer{KeepAlive: -1}).DialContext // as with servers
 	return d
@@ -96,20 +96,20 @@
 // watchTime draws how long a watch may be held. The watches of a fleet open together, when something has
 // changed, and may fall silent together: those of one length would all be found out, and call, at once.
 func watchTime() time.Duration {
-	return watchMost/2 + rand.N(watchMost/2+time.Millisecond)
+	return maxWatchTime/2 + rand.N(maxWatchTime/2+time.Millisecond)
 }
 
-// ask takes that the module wants to be subscribed to the list.
-func (d *discovery) ask() {
+// poll takes that the module wants to be subscribed to the list.
+func (d *discoveryClient) poll() {
 	select {
-	case d.asked <- struct{}{}:
+	case d.polls <- struct{}{}:
 	default: // already asked, or the list is pushed
 	}
 }
 
 // reload takes discovery's address from the configuration as it is now. The rest of it holds until
 // the next start. A file that can't be used changes nothing.
-func (d *discovery) reload(path string) {
+func (d *discoveryClient) reload(path string) {
 	cfg, err := ReadConfig(path)
 	if err != nil {
 		slog.Error("the new configuration can't be used, the old one stays", "error", err)
@@ -120,20 +120,20 @@
 	slog.Info("configuration read again", "discovery", cfg.Discovery, "before", d.address)
 	if cfg.Discovery != d.address {
 		d.address = cfg.Discovery
-		if d.moved != nil {
-			d.moved()
+		if d.stopFollowing != nil {
+			d.stopFollowing()
 		}
 	}
 }
 
-// follower returns the address to follow, and a context that ends once that is another.
-func (d *discovery) follower(ctx context.Context) (context.Context, string) {
+// followedAddress returns the address to follow, and a context that ends once that is another.
+func (d *discoveryClient) followedAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.moved != nil {
-		d.moved()
+	if d.stopFollowing != nil {
+		d.stopFollowing()
 	}
-	ctx, d.moved = context.WithCancel(ctx)
+	ctx, d.stopFollowing = context.WithCancel(ctx)
 	return ctx, d.address
 }
 
@@ -141,32 +141,32 @@
 // after a failure. Where lists are pushed it comes back by itself after a pause; where they are
 // asked for, the module says when. At a new address it begins anew at once, with the whole list: the
 // versions of the old one mean nothing there.
-func (d *discovery) run(ctx context.Context) {
-	first := min(firstRetry, d.lastRetry)
+func (d *discoveryClient) run(ctx context.Context) {
+	first := min(initialBackoff, d.maxBackoff)
 	pause, moved := first, false
 	for ctx.Err() == nil {
-		if d.asked != nil && !moved {
+		if d.polls != nil && !moved {
 			select {
-			case <-d.asked:
+			case <-d.polls:
 			case <-ctx.Done():
 				return
 			}
 		}
-		following, address := d.follower(ctx)
+		following, address := d.followedAddress(ctx)
 		heard, err := d.follow(following, address)
 		if ctx.Err() != nil {
 			return
 		}
 		if moved = following.Err() != nil; moved {
 			d.version = -1
-			d.hangUp()
+			d.closeIdle()
 			pause = first
 			continue
 		}
 		slog.Warn("discovery", "error", err)
-		if d.asked != nil {
+		if d.polls != nil {
 			select {
-			case <-d.asked: // meanwhile: the call under way was to answer that
+			case <-d.polls: // meanwhile: the call under way was to answer that
 			default:
 			}
 			d.failed()
@@ -181,7 +181,7 @@
 		case <-time.After(time.Duration(float64(pause) * (0.5 + rand.Float64()))):
 		case <-following.Done(): // at its new address nothing has failed yet
 		}
-		pause = min(2*pause, d.lastRetry)
+		pause = min(2*pause, d.maxBackoff)
 	}
 }
 
@@ -189,44 +189,44 @@
 // has changed since the list that is held, if any: every line is work for discovery, and after a restart
 // of many sidecars all of them call at once. That first call does not wait. Nor does the one after a watch
 // that fell silent, which comes at once: what was missed may soon count as told.
-func (d *discovery) follow(ctx context.Context, address string) (heard bool, err error) {
+func (d *discoveryClient) follow(ctx context.Context, address string) (heard bool, err error) {
 	silent := false
 	for {
 		query, watching := "", false
-		var l listing
+		var l endpointUpdate
 		var err error
 		switch {
 		case d.version >= 0 && heard && !silent:
-			wait := d.watch()
+			wait := d.drawWatchTime()
 			query, watching = fmt.Sprintf("?index=%d&wait=%d", d.version, wait.Milliseconds()), true
-			l, err = d.hold(ctx, address, query, wait+d.silence)
+			l, err = d.watch(ctx, address, query, wait+d.watchGrace)
 		case d.version >= 0:
-			query = fmt.Sprintf("?index=%d&wait=%d", d.version, firstWait.Milliseconds())
+			query = fmt.Sprintf("?index=%d&wait=%d", d.version, immediateWait.Milliseconds())
 			fallthrough
 		default:
 			l, err = d.fetch(ctx, address, query)
 		}
 		if silent = watching && errors.Is(err, context.DeadlineExceeded); silent {
-			slog.Warn("discovery", "error", errSilent)
+			slog.Warn("discovery", "error", errWatchTimeout)
 			continue
 		}
-		if err == nil && !l.whole && query != "" && l.version < d.version { // begun anew: they mean something else now
-			err = fmt.Errorf("%w: its version went from %d to %d", errUnusable, d.version, l.version)
+		if err == nil && !l.complete && query != "" && l.version < d.version { // begun anew: they mean something else now
+			err = fmt.Errorf("%w: its version went from %d to %d", errInvalidResponse, d.version, l.version)
 		}
-		if errors.Is(err, errUnusable) {
+		if errors.Is(err, errInvalidResponse) {
 			d.version = -1 // nothing that it said of changes is to be built on
 		}
 		if err != nil {
 			return heard, err
 		}
-		l.whole = l.whole || query == "" // that call asked for the whole list
+		l.complete = l.complete || query == "" // that call asked for the whole list
 		heard, d.version = true, l.version
-		d.heard(l)
+		d.updated(l)
 	}
 }
 
-// hold makes a call that may wait, and gives it up after limit.
-func (d *discovery) hold(ctx context.Context, address, query string, limit time.Duration) (listing, error) {
+// watch makes a call that may wait, and gives it up after limit.
+func (d *discoveryClient) watch(ctx context.Context, address, query string, limit time.Duration) (endpointUpdate, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return d.call(ctx, address, query)
@@ -238,21 +238,21 @@
 // discovery can be reached; with a new call every 2 s the last 4 s are left for its turn. Where lists are pushed
 // it counts at once, and discovery serves this sidecar alone: there new calls come sooner. It fails once all
 // calls have.
-func (d *discovery) fetch(ctx context.Context, address, query string) (listing, error) {
+func (d *discoveryClient) fetch(ctx context.Context, address, query string) (endpointUpdate, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
-		l   listing
+		l   endpointUpdate
 		err error
 	}
 	answers, out := make(chan answer), 0
 	var ends []context.CancelFunc // of the latest calls
 	begin := func() {
-		if len(ends) == callsMost {
+		if len(ends) == maxConcurrentCalls {
 			ends[0]()
 			ends = ends[1:]
 		}
-		calling, end := context.WithTimeout(ctx, listTime)
+		calling, end := context.WithTimeout(ctx, callTimeout)
 		ends = append(ends, end)
 		out++
 		go func() {
@@ -265,18 +265,18 @@
 		}()
 	}
 	begin()
-	again := time.NewTicker(d.again)
+	again := time.NewTicker(d.callInterval)
 	defer again.Stop()
 	for {
 		select {
 		case a := <-answers:
-			if out--; a.err == nil || out == 0 || errors.Is(a.err, errUnusable) {
+			if out--; a.err == nil || out == 0 || errors.Is(a.err, errInvalidResponse) {
 				return a.l, a.err
 			}
 		case <-again.C:
 			begin()
 		case <-ctx.Done():
-			return listing{}, ctx.Err()
+			return endpointUpdate{}, ctx.Err()
 		}
 	}
 }
@@ -284,15 +284,15 @@
 // call makes one call, over the connection that an earlier one left or over a new one. It is not net/http's client
 // because that calls again by itself when a kept connection breaks: a watch that was reset would be opened again
 // unseen, and what came in between be read only when that ends.
-func (d *discovery) call(ctx context.Context, address, query string) (listing, error) {
+func (d *discoveryClient) call(ctx context.Context, address, query string) (endpointUpdate, error) {
 	c, err := d.connect(ctx, address)
 	if err != nil {
-		return listing{}, err
+		return endpointUpdate{}, err
 	}
 	alive := context.AfterFunc(ctx, func() { c.Close() })
-	l, keep, err := d.converse(c, address, query)
+	l, keep, err := d.roundTrip(c, address, query)
 	if alive() && keep {
-		d.keep(c, address)
+		d.putIdle(c, address)
 	} else {
 		c.Close()
 	}
@@ -302,43 +302,43 @@
 	return l, err
 }
 
-// converse writes a call and reads its answer, and tells whether the connection may be used again.
-func (d *discovery) converse(c net.Conn, address, query string) (l listing, keep bool, err error) {
+// roundTrip writes a call and reads its answer, and tells whether the connection may be used again.
+func (d *discoveryClient) roundTrip(c net.Conn, address, query string) (l endpointUpdate, keep bool, err error) {
 	if _, err := fmt.Fprintf(c, "GET /discovery/hosts%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, address); err != nil {
-		return listing{}, false, err
+		return endpointUpdate{}, false, err
 	}
-	r := bufio.NewReader(io.LimitReader(c, headerLimit+listLimit+1))
+	r := bufio.NewReader(io.LimitReader(c, maxHeaderBytes+maxListBytes+1))
 	res, err := http.ReadResponse(r, nil)
-	for n := 0; err == nil && res.StatusCode/100 == 1 && n < interimMost; n++ {
+	for n := 0; err == nil && res.StatusCode/100 == 1 && n < maxInterimResponses; n++ {
 		res, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
-		return listing{}, false, err
+		return endpointUpdate{}, false, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, listLimit+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes+1))
 	keep = err == nil && !res.Close && r.Buffered() == 0
 	switch {
 	case err != nil:
-		return listing{}, false, err
+		return endpointUpdate{}, false, err
 	case res.StatusCode != http.StatusOK:
-		return listing{}, keep, fmt.Errorf("answered %s", res.Status)
-	case len(body) > listLimit:
-		return listing{}, false, fmt.Errorf("%w: it is too long", errUnusable)
+		return endpointUpdate{}, keep, fmt.Errorf("answered %s", res.Status)
+	case len(body) > maxListBytes:
+		return endpointUpdate{}, false, fmt.Errorf("%w: it is too long", errInvalidResponse)
 	}
-	if l, err = parseListing(body, d.zones); err != nil {
-		return listing{}, keep, fmt.Errorf("%w: %w", errUnusable, err)
+	if l, err = parseEndpoints(body, d.zones); err != nil {
+		return endpointUpdate{}, keep, fmt.Errorf("%w: %w", errInvalidResponse, err)
 	}
 	return l, keep, nil
 }
 
 // connect returns the connection that was kept, if it still stands, or opens one.
-func (d *discovery) connect(ctx context.Context, address string) (net.Conn, error) {
+func (d *discoveryClient) connect(ctx context.Context, address string) (net.Conn, error) {
 	d.mu.Lock()
-	c, at := d.idle, d.idleAt
+	c, at := d.idle, d.idleAddress
 	d.idle = nil
 	d.mu.Unlock()
 	if c != nil {
-		if at == address && standing(c) {
+		if at == address && connAlive(c) {
 			return c, nil
 		}
 		c.Close()
@@ -346,19 +346,19 @@
 	return d.dial(ctx, "tcp", address)
 }
 
-// keep leaves a connection for the next call. One is enough: calls are seldom out at the same time.
-func (d *discovery) keep(c net.Conn, address string) {
+// putIdle leaves a connection for the next call. One is enough: calls are seldom out at the same time.
+func (d *discoveryClient) putIdle(c net.Conn, address string) {
 	d.mu.Lock()
 	before := d.idle
-	d.idle, d.idleAt = c, address
+	d.idle, d.idleAddress = c, address
 	d.mu.Unlock()
 	if before != nil {
 		before.Close()
 	}
 }
 
-// hangUp closes the connection that is kept, if any.
-func (d *discovery) hangUp() {
+// closeIdle closes the connection that is kept, if any.
+func (d *discoveryClient) closeIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.idle != nil {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -39,9 +39,9 @@
 	cfg := testConfig(t, listed(0, "ready"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
-	heard, failed := make(chan listing, 100), make(chan struct{}, 100)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { failed <- struct{}{} })
-	d.watch = func() time.Duration { return generous } // drawn anew for each watch, and here all of one length
+	heard, failed := make(chan endpointUpdate, 100), make(chan struct{}, 100)
+	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { failed <- struct{}{} })
+	d.drawWatchTime = func() time.Duration { return generous } // drawn anew for each watch, and here all of one length
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.run(ctx); close(ended) }()
@@ -55,8 +55,8 @@
 	}
 	news := func(version int64, whole bool) {
 		t.Helper()
-		if l := wait(t, "a list", heard); l.version != version || l.whole != whole {
-			t.Fatalf("version %d, whole %v, want %d, %v", l.version, l.whole, version, whole)
+		if l := wait(t, "a list", heard); l.version != version || l.complete != whole {
+			t.Fatalf("version %d, whole %v, want %d, %v", l.version, l.complete, version, whole)
 		}
 	}
 	step("", say(listed(41, "ready", "127.0.0.1:80")))
@@ -98,9 +98,9 @@
 	cfg := testConfig(t, listed(41, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
-	heard := make(chan listing, 100)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() {})
-	d.watch = func() time.Duration { return generous }
+	heard := make(chan endpointUpdate, 100)
+	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() {})
+	d.drawWatchTime = func() time.Duration { return generous }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.run(ctx); close(ended) }()
@@ -123,8 +123,8 @@
 			t.Fatalf("call %d: %q, want %q", n, got, step.query)
 		}
 		if step.told {
-			if l := wait(t, "a list", heard); l.whole != step.whole {
-				t.Fatalf("call %d: whole %v, want %v", n, l.whole, step.whole)
+			if l := wait(t, "a list", heard); l.complete != step.whole {
+				t.Fatalf("call %d: whole %v, want %v", n, l.complete, step.whole)
 			}
 		}
 	}
@@ -155,25 +155,25 @@
 		file["discovery"] = server.Listener.Addr().String()
 		settings["discovery"] = "ask"
 	})
-	heard := make(chan listing, 100)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { t.Error("told the module of a failure") })
+	heard := make(chan endpointUpdate, 100)
+	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { t.Error("told the module of a failure") })
 	waits := make(chan time.Duration, 2)
 	waits <- 5 * time.Millisecond
 	waits <- generous
-	d.watch, d.silence = func() time.Duration { return <-waits }, time.Millisecond
+	d.drawWatchTime, d.watchGrace = func() time.Duration { return <-waits }, time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	d.ask()
+	d.poll()
 	go func() { d.run(ctx); close(ended) }()
 	for _, want := range []string{"", "index=41&wait=5", "index=41&wait=1", "index=42&wait=20000"} {
 		if got := wait(t, "a call", queries); got != want {
 			t.Fatalf("called %q, want %q", got, want)
 		}
 	}
-	if l := wait(t, "the list", heard); l.servers[0].State != policy.Ready {
+	if l := wait(t, "the list", heard); l.endpoints[0].State != policy.Ready {
 		t.Errorf("first %+v", l)
 	}
-	if l := wait(t, "the news", heard); l.servers[0].State != policy.Draining {
+	if l := wait(t, "the news", heard); l.endpoints[0].State != policy.Draining {
 		t.Errorf("after the silence %+v", l)
 	}
 	cancel()
@@ -187,8 +187,8 @@
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := testConfig(t, listed(41, "ready", "127.0.0.1:80"), func(_, settings map[string]any) { settings["discovery"] = "ask" })
-			heard := make(chan listing, 1)
-			d := newDiscovery(cfg, func(l listing) {
+			heard := make(chan endpointUpdate, 1)
+			d := newDiscoveryClient(cfg, func(l endpointUpdate) {
 				if l.version == 42 {
 					heard <- l
 				}
@@ -229,7 +229,7 @@
 				return ours, nil
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			d.ask()
+			d.poll()
 			ended := make(chan struct{})
 			go func() { d.run(ctx); close(ended) }()
 			<-heard
@@ -238,7 +238,7 @@
 			}
 			cancel()
 			<-ended
-			d.hangUp()
+			d.closeIdle()
 		})
 	}
 }
@@ -249,8 +249,8 @@
 	cfg := testConfig(t, listed(1, "ready"), func(_, settings map[string]any) {
 		settings["rules"].(map[string]any)["stop_sending_within_ms"] = 400.0
 	})
-	if d := newDiscovery(cfg, nil, nil); d.lastRetry != 100*time.Millisecond {
-		t.Errorf("pauses up to %v, want 100ms", d.lastRetry)
+	if d := newDiscoveryClient(cfg, nil, nil); d.maxBackoff != 100*time.Millisecond {
+		t.Errorf("pauses up to %v, want 100ms", d.maxBackoff)
 	}
 }
 
@@ -267,7 +267,7 @@
 		settings["discovery"] = "ask"
 	})
 	failed := make(chan struct{}, 100)
-	d := newDiscovery(cfg, func(listing) {}, func() { failed <- struct{}{} })
+	d := newDiscoveryClient(cfg, func(endpointUpdate) {}, func() { failed <- struct{}{} })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.run(ctx)
@@ -275,7 +275,7 @@
 		if len(calls) > 0 {
 			t.Fatal("called unasked")
 		}
-		d.ask()
+		d.poll()
 		wait(t, "the failure", failed)
 		wait(t, "the call", calls)
 	}
@@ -300,9 +300,9 @@
 	}
 	before, after := serve(50), serve(3)
 	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) { file["discovery"] = before })
-	heard := make(chan listing, 100)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { t.Error("failed") })
-	d.watch = func() time.Duration { return generous }
+	heard := make(chan endpointUpdate, 100)
+	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { t.Error("failed") })
+	d.drawWatchTime = func() time.Duration { return generous }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.run(ctx)
@@ -326,8 +326,8 @@
 	expect("3 ")
 	expect("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if l := wait(t, "a list", heard); !l.whole || l.version != version {
-			t.Errorf("version %d, whole %v, want %d as a whole", l.version, l.whole, version)
+		if l := wait(t, "a list", heard); !l.complete || l.version != version {
+			t.Errorf("version %d, whole %v, want %d as a whole", l.version, l.complete, version)
 		}
 	}
 }
@@ -336,11 +336,11 @@
 func TestNewServerAtAnOldAddress(t *testing.T) {
 	s := newStub(t, echo)
 	l := idleLoop(t, s.address)
-	l.upstream.settle = 0
-	old := l.hosts[serverID("s-0")]
-	attempt(t, l.upstream, old, "1", generous)
-	l.take(listing{servers: []policy.Endpoint{{ID: 7, State: policy.Ready}}, address: map[policy.EndpointID]string{7: s.address}}, policy.DeltaUpdate)
-	attempt(t, l.upstream, l.hosts[7], "2", generous)
+	l.transport.minIdle = 0
+	old := l.endpoints[serverID("s-0")]
+	attempt(t, l.transport, old, "1", generous)
+	l.applyEndpoints(endpointUpdate{endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}}, addresses: map[policy.EndpointID]string{7: s.address}}, policy.DeltaUpdate)
+	attempt(t, l.transport, l.endpoints[7], "2", generous)
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn == second.conn {
 		t.Error("the new server's request went over the old one's connection")
 	}
@@ -351,25 +351,25 @@
 func TestListMovesServers(t *testing.T) {
 	l := idleLoop(t, "127.0.0.1:81")
 	id := serverID("s-0")
-	moved, err := parseListing([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
+	moved, err := parseEndpoints([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(moved, policy.DeltaUpdate)
-	if l.hosts[id].address != "127.0.0.1:82" {
-		t.Errorf("address %q after the move", l.hosts[id].address)
+	l.applyEndpoints(moved, policy.DeltaUpdate)
+	if l.endpoints[id].address != "127.0.0.1:82" {
+		t.Errorf("address %q after the move", l.endpoints[id].address)
 	}
-	l.take(listing{}, policy.DeltaUpdate)
-	if len(l.hosts) != 1 {
-		t.Errorf("addresses %v after no change", l.hosts)
+	l.applyEndpoints(endpointUpdate{}, policy.DeltaUpdate)
+	if len(l.endpoints) != 1 {
+		t.Errorf("addresses %v after no change", l.endpoints)
 	}
-	l.take(listing{servers: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
-	if len(l.hosts) != 0 {
-		t.Errorf("addresses %v, the server is gone", l.hosts)
+	l.applyEndpoints(endpointUpdate{endpoints: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
+	if len(l.endpoints) != 0 {
+		t.Errorf("addresses %v, the server is gone", l.endpoints)
 	}
-	l.take(moved, policy.DeltaUpdate)
-	l.take(listing{whole: true}, policy.FullUpdate)
-	if len(l.hosts) != 0 {
-		t.Errorf("addresses %v after a whole list of none", l.hosts)
+	l.applyEndpoints(moved, policy.DeltaUpdate)
+	l.applyEndpoints(endpointUpdate{complete: true}, policy.FullUpdate)
+	if len(l.endpoints) != 0 {
+		t.Errorf("addresses %v after a whole list of none", l.endpoints)
 	}
 }
--- a/internal/sidecar/endings_test.go
+++ b/internal/sidecar/endings_test.go
@@ -16,15 +16,15 @@
 )
 
 // entrance serves clients on loopback for a loop whose goroutine is the test itself.
-func entrance(t *testing.T, l *loop) (f *front, address string) {
+func entrance(t *testing.T, l *eventLoop) (f *ingress, address string) {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready"), nil)
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = newFront(cfg, l.clock, l)
-	a := newAcceptor(listener, cfg.clientConns())
+	f = newIngress(cfg, l.clock, l)
+	a := newAcceptor(listener, cfg.maxClientConns())
 	server := f.server(a)
 	go func() { _ = server.Serve(a) }() // ends with the test
 	t.Cleanup(func() { server.Close() })
@@ -60,14 +60,14 @@
 }
 
 // list has the loop take news of servers in one state, at addresses, named by their number from 0.
-func (l *loop) listAll(t *testing.T, lifecycle string, addresses ...string) {
+func (l *eventLoop) listAll(t *testing.T, lifecycle string, addresses ...string) {
 	t.Helper()
-	news, err := parseListing([]byte(listed(2, lifecycle, addresses...)), nil)
+	news, err := parseEndpoints([]byte(listed(2, lifecycle, addresses...)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(news, policy.FullUpdate)
-	l.settle()
+	l.applyEndpoints(news, policy.FullUpdate)
+	l.reportUnsent()
 }
 
 // ways are how a client leaves. Each returns once the close is on its way.
@@ -97,7 +97,7 @@
 		c.Close()
 	},
 	"more than may be read ahead": func(t *testing.T, c *net.TCPConn) {
-		write(t, c, strings.Repeat("x", aheadLimit+1+4<<10))
+		write(t, c, strings.Repeat("x", maxBufferedBytes+1+4<<10))
 	},
 }
 
@@ -154,7 +154,7 @@
 }
 
 // heldDial has connections come up when the test says so: each item lets one through.
-func heldDial(u *upstream) (dialling chan string, come chan bool) {
+func heldDial(u *transport) (dialling chan string, come chan bool) {
 	dialling, come = make(chan string, 100), make(chan bool, 100)
 	dial := u.dial
 	u.dial = func(_ context.Context, network, address string) (net.Conn, error) { // late, whatever the context says
@@ -175,7 +175,7 @@
 				settings["caps"].(map[string]any)["may_cancel"] = false
 			})
 			l := loopFor(t, cfg)
-			dialling, come := heldDial(l.upstream)
+			dialling, come := heldDial(l.transport)
 			_, address := entrance(t, l)
 			c := client(t, address, look("left"))
 			l.next(t)
@@ -192,7 +192,7 @@
 }
 
 // held takes an event that is not to run yet: the loop is short of CPU.
-func (l *loop) held(t *testing.T, what string) func(now time.Duration) {
+func (l *eventLoop) held(t *testing.T, what string) func(now time.Duration) {
 	t.Helper()
 	return wait(t, what, l.events)
 }
@@ -205,7 +205,7 @@
 			t.Run(at+"/"+name, func(t *testing.T) {
 				s, turnsAway := newStub(t, echo), newStub(t, turnAway)
 				l := idleLoop(t, s.address)
-				dialling, come := heldDial(l.upstream)
+				dialling, come := heldDial(l.transport)
 				come <- true
 				_, address := entrance(t, l)
 				var ask, gone func(now time.Duration)
@@ -248,7 +248,7 @@
 					t.Errorf("%d requests held, want none", len(l.requests))
 				}
 				gone(l.clock.now())
-				l.settle()
+				l.reportUnsent()
 				if len(s.seen)+len(turnsAway.seen) > 0 || at != "dialling" && len(dialling) > 0 {
 					t.Errorf("%d sent and %d connections opened for a client that has gone",
 						len(s.seen)+len(turnsAway.seen), len(dialling))
@@ -263,7 +263,7 @@
 	const many = 60
 	s := newStub(t, echo)
 	l := idleLoop(t, s.address)
-	dialling, come := heldDial(l.upstream)
+	dialling, come := heldDial(l.transport)
 	_, address := entrance(t, l)
 	var clients []*net.TCPConn
 	for i := range many {
@@ -297,19 +297,19 @@
 		t.Run(lifecycle, func(t *testing.T) {
 			s, other := newStub(t, echo), newStub(t, echo)
 			l := idleLoop(t, s.address)
-			dialling, come := heldDial(l.upstream)
+			dialling, come := heldDial(l.transport)
 			_, address := entrance(t, l)
 			c := client(t, address, strings.NewReplacer("GET /look", "POST /entry", "Class: look", "Class: entry",
 				"X-Timeout", "Content-Length: 0\r\nX-Timeout").Replace(look("one")))
 			l.next(t)
 			wait(t, "the first call", dialling)
-			news, err := parseListing([]byte(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[
+			news, err := parseEndpoints([]byte(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[
 				{"instanceId":"s-0","hostPort":%q,"lifecycle":%q},{"instanceId":"s-1","hostPort":%q,"lifecycle":"ready"}]}`,
 				s.address, lifecycle, other.address)), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.take(news, policy.DeltaUpdate)
+			l.applyEndpoints(news, policy.DeltaUpdate)
 			come <- true
 			l.next(t) // the attempt has ended as not sent, and the next begins
 			if to := wait(t, "the second call", dialling); to != other.address {
@@ -338,9 +338,9 @@
 			var dialling chan string
 			var come chan bool
 			if late {
-				dialling, come = heldDial(l.upstream)
+				dialling, come = heldDial(l.transport)
 			} else {
-				l.upstream.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+				l.transport.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
@@ -356,8 +356,8 @@
 				come <- true
 			}
 			l.next(t)
-			if len(s.seen) > 0 || r.over || r.out != 0 {
-				t.Errorf("%d repeats written, answered %v, %d attempts out", len(s.seen), r.over, r.out)
+			if len(s.seen) > 0 || r.closed || r.inFlight != 0 {
+				t.Errorf("%d repeats written, answered %v, %d attempts out", len(s.seen), r.closed, r.inFlight)
 			}
 		})
 	}
@@ -378,8 +378,8 @@
 			client(t, address, look("queued"))
 			l.next(t)
 			l.now += idleFor
-			l.b.TimerFired(l.now)
-			l.settle()
+			l.balancer.TimerFired(l.now)
+			l.reportUnsent()
 			if len(l.requests) != 2 || len(s.seen) > 0 || len(full.seen) != 1 {
 				t.Errorf("%d requests wait, %d sent to one server, %d to the other, want 2, 0 and 1 before the news",
 					len(l.requests), len(s.seen), len(full.seen))
@@ -477,15 +477,15 @@
 	s := newStub(t, silent)
 	l := idleLoop(t, s.address)
 	f, address := entrance(t, l)
-	f.until.Store(int64(l.clock.now() + generous/2))
+	f.killAt.Store(int64(l.clock.now() + generous/2))
 	client(t, address, look("in time"))
 	l.next(t)
 	for _, r := range l.requests {
-		if r.deadline != time.Duration(f.until.Load()) {
-			t.Errorf("it is answered by %v, want by %v", r.deadline, time.Duration(f.until.Load()))
+		if r.deadline != time.Duration(f.killAt.Load()) {
+			t.Errorf("it is answered by %v, want by %v", r.deadline, time.Duration(f.killAt.Load()))
 		}
 	}
-	f.until.Store(1)
+	f.killAt.Store(1)
 	c := client(t, address, look("late"))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close || res.Header.Get("Retry-After") == "" {
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -10,38 +10,38 @@
 )
 
 // idleLoop is a loop whose goroutine is the test itself, with one server in its list.
-func idleLoop(t *testing.T, address string) *loop {
+func idleLoop(t *testing.T, address string) *eventLoop {
 	t.Helper()
 	return loopFor(t, testConfig(t, listed(1, "ready", address), nil))
 }
 
 // loopFor is such a loop with a configuration of its own.
-func loopFor(t *testing.T, cfg *Config) *loop {
+func loopFor(t *testing.T, cfg *Config) *eventLoop {
 	t.Helper()
 	c := newClock()
-	l, err := newLoop(cfg, c, newUpstream(cfg, c))
+	l, err := newEventLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.now = c.now()
-	l.b.Start(l.now)
-	l.take(cfg.Known, policy.CachedUpdate)
+	l.balancer.Start(l.now)
+	l.applyEndpoints(cfg.CachedEndpoints, policy.CachedUpdate)
 	return l
 }
 
 // next runs the next event and what it owes.
-func (l *loop) next(t *testing.T) {
+func (l *eventLoop) next(t *testing.T) {
 	t.Helper()
 	event := wait(t, "an event", l.events)
 	l.now = l.clock.now()
 	event(l.now)
-	l.settle()
+	l.reportUnsent()
 }
 
 // hold enters a request that the module does not know, so that the test can decide for it.
-func (l *loop) hold(id policy.RequestID) (*request, chan answer) {
-	reply := make(chan answer, 1)
-	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + generous}
+func (l *eventLoop) hold(id policy.RequestID) (*request, chan response) {
+	reply := make(chan response, 1)
+	r := &request{outbound: testMessage("1"), reply: reply, deadline: l.now + generous}
 	l.requests[id] = r
 	return r, reply
 }
@@ -71,12 +71,12 @@
 	l.Reject(7, time.Second)
 	l.Fail(7)
 	l.Send(7, to, 0, 0)
-	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.notSent)
+	if len(reply) != 0 || len(l.unsentOutcomes) != 1 || l.unsentOutcomes[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
+		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.unsentOutcomes)
 	}
-	l.settle()
-	if len(l.requests) != 0 || r.out != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.out)
+	l.reportUnsent()
+	if len(l.requests) != 0 || r.inFlight != 0 {
+		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.inFlight)
 	}
 	close(release)
 }
@@ -122,12 +122,12 @@
 		{RequestID: 7, Attempt: 3, Result: policy.NotSent}, {RequestID: 8, Attempt: 0, Result: policy.NotSent},
 		{RequestID: 8, Attempt: 1, Result: policy.NotSent}, {RequestID: 8, Attempt: 2, Result: policy.NotSent},
 	}
-	if len(l.notSent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.notSent, want)
+	if len(l.unsentOutcomes) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", l.unsentOutcomes, want)
 	}
 	for i := range want {
-		if l.notSent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.notSent[i], want[i])
+		if l.unsentOutcomes[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", l.unsentOutcomes[i], want[i])
 		}
 	}
 	for range 3 {
@@ -143,11 +143,11 @@
 func TestClientGone(t *testing.T) {
 	s := newStub(t, silent)
 	l := idleLoop(t, s.address)
-	reply := make(chan answer, 1)
-	id := l.ask(policy.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
+	reply := make(chan response, 1)
+	id := l.submit(policy.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
 	l.next(t)
 	wait(t, "the request", s.seen)
-	l.gone(id)
+	l.clientGone(id)
 	l.next(t)
 	l.next(t) // the end of its attempt
 	wait(t, "the connection to close", s.closed)
@@ -159,17 +159,17 @@
 // Timers due at one moment share one call, the rest wait for theirs.
 func TestWakesAreMerged(t *testing.T) {
 	l := idleLoop(t, "127.0.0.1:1")
-	l.wakes = nil
+	l.timersAt = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
 		l.SetTimer(d * time.Millisecond)
 	}
-	if len(l.wakes) != 4 || l.wakes[0] != now || l.wakes[1] != now+10*time.Millisecond {
-		t.Fatalf("due in %v from %v", l.wakes, now)
+	if len(l.timersAt) != 4 || l.timersAt[0] != now || l.timersAt[1] != now+10*time.Millisecond {
+		t.Fatalf("due in %v from %v", l.timersAt, now)
 	}
 	l.now = now + 15*time.Millisecond
-	l.wake()
-	if first := l.wakes[0]; first > now+20*time.Millisecond {
+	l.fireTimers()
+	if first := l.timersAt[0]; first > now+20*time.Millisecond {
 		t.Errorf("first due in %v, want 20ms at most", first-now)
 	}
 }
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -33,7 +33,7 @@
 		file["peer_listen"], file["peers_all"] = "127.0.0.1:0", allAt.String()
 		file["peers"] = []string{"127.0.0.1:9", "127.0.0.1:10", friendAt.String()}
 	})
-	p, err := newPeers(cfg)
+	p, err := newGossipTransport(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	}()
 
 	want := policy.GossipMessage{SentAt: time.Hour, RequestRate: 2, Responses: 3, Congestion: 0.5}
-	p.tell(gossip.Encode(want))
+	p.send(gossip.Encode(want))
 	buf := make([]byte, 1000)
 	if err := all.SetReadDeadline(time.Now().Add(generous)); err != nil {
 		t.Fatal(err)
@@ -90,11 +90,11 @@
 	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) {
 		file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
 	})
-	p, err := newPeers(cfg)
+	p, err := newGossipTransport(cfg)
 	if p != nil || err != nil || cfg.Policy.CanGossip {
 		t.Fatalf("peers %v, %v, though the settings do not allow them", p, err)
 	}
-	p.tell([]byte("x"))
+	p.send([]byte("x"))
 	p.run(context.Background(), nil)
 	if len(p.counters()) != 0 {
 		t.Fatal("it counted something")
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/ingress.go
@@ -18,50 +18,50 @@
 const (
 	// A client beside us sends a request at once. These leave room for one that is short of CPU and
 	// end those that never finish within 3 s of connecting.
-	headerTime  = 2200 * time.Millisecond // over the head; also for a new connection's first byte
-	bodyTime    = 2 * time.Second         // over the body, once the head is here
-	rejectTime  = 500 * time.Millisecond  // the rest of a rejected request is read over for so long
-	clientIdle  = 2 * time.Minute         // idle connections of clients are closed after this
-	headerLimit = 16 << 10
-	longestWait = time.Hour // figures above this mean the same to everyone
-	farTimeout  = 10        // a time-out of more than so many deadlines of its class is no usable one
+	headerTimeout       = 2200 * time.Millisecond // over the head; also for a new connection's first byte
+	bodyTimeout         = 2 * time.Second         // over the body, once the head is here
+	rejectedBodyTimeout = 500 * time.Millisecond  // the rest of a rejected request is read over for so long
+	clientIdleTimeout   = 2 * time.Minute         // idle connections of clients are closed after this
+	maxHeaderBytes      = 16 << 10
+	maxTimeout          = time.Hour // figures above this mean the same to everyone
+	maxDeadlineMultiple = 10        // a time-out of more than so many deadlines of its class is no usable one
 )
 
-// once lists the headers that steer a request. Sent twice, two readers may heed different ones.
-var once = []string{
+// singleValueHeaders lists the headers that steer a request. Sent twice, two readers may heed different ones.
+var singleValueHeaders = []string{
 	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Retried", "X-Cost",
 	"X-Attrs", "Idempotency-Key", "Content-Length",
 }
 
-// front is the application's side.
-type front struct {
-	cfg   *Config
-	clock clock
-	loop  *loop
-	held  atomic.Int64 // requests with no answer yet
-	bytes atomic.Int64 // of their bodies
-	ready atomic.Bool  // what GET /up tells
-	until atomic.Int64 // once a stop is asked for: when it may be killed, in the clock's time; 0 before
+// ingress is the application's side.
+type ingress struct {
+	cfg       *Config
+	clock     clock
+	loop      *eventLoop
+	inFlight  atomic.Int64 // requests with no answer yet
+	bodyBytes atomic.Int64 // of their bodies
+	ready     atomic.Bool  // what GET /up tells
+	killAt    atomic.Int64 // once a stop is asked for: when it may be killed, in the clock's time; 0 before
 
-	mu   sync.Mutex
-	open map[string]bool // ids of the requests that have no answer yet
+	mu      sync.Mutex
+	openIDs map[string]bool // ids of the requests that have no answer yet
 }
 
-func newFront(cfg *Config, c clock, l *loop) *front {
-	return &front{cfg: cfg, clock: c, loop: l, open: make(map[string]bool)}
+func newIngress(cfg *Config, c clock, l *eventLoop) *ingress {
+	return &ingress{cfg: cfg, clock: c, loop: l, openIDs: make(map[string]bool)}
 }
 
 // server is the HTTP server that serves the application.
-func (f *front) server(a *acceptor) *http.Server {
+func (f *ingress) server(a *acceptor) *http.Server {
 	return &http.Server{
-		Handler: f, ReadHeaderTimeout: headerTime, IdleTimeout: clientIdle, MaxHeaderBytes: headerLimit,
-		ConnState: a.state, ConnContext: connContext,
+		Handler: f, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: a.connStateChanged, ConnContext: connContext,
 	}
 }
 
-// closing has a connection close with its answer, once a stop is asked for.
-func (f *front) closing(w http.ResponseWriter) {
-	if f.until.Load() != 0 {
+// closeIfDraining has a connection close with its answer, once a stop is asked for.
+func (f *ingress) closeIfDraining(w http.ResponseWriter) {
+	if f.killAt.Load() != 0 {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -72,81 +72,81 @@
 	reason string
 }
 
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := f.clock.now() // the client's time began when it sent, so before the body is read
 	if r.URL.Path == "/up" && r.Method == http.MethodGet && len(r.TransferEncoding) == 0 && r.ContentLength == 0 {
-		f.closing(w)
+		f.closeIfDraining(w)
 		if !f.ready.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	q, left, bad := f.read(r)
+	q, left, bad := f.parseRequest(r)
 	if bad != nil {
-		reject(w, bad)
+		writeRejection(w, bad)
 		return
 	}
 	id := r.Header.Get("X-Request-ID")
-	if !f.enter(id) {
-		reject(w, &rejection{http.StatusConflict, "a request of this X-Request-ID is open"})
+	if !f.reserveID(id) {
+		writeRejection(w, &rejection{http.StatusConflict, "a request of this X-Request-ID is open"})
 		return
 	}
-	defer f.leave(id)
+	defer f.releaseID(id)
 	body, bad := readBody(w, r)
 	if bad != nil {
-		reject(w, bad)
+		writeRejection(w, bad)
 		return
 	}
 	// Counted only now: clients that tell of a body and don't send it must not use up what the others
 	// may hold. Until here the bound on connections holds for them.
 	size := int64(len(body))
-	defer f.held.Add(-1)
-	defer f.bytes.Add(-size)
-	held, bytes := f.held.Add(1), f.bytes.Add(size)
+	defer f.inFlight.Add(-1)
+	defer f.bodyBytes.Add(-size)
+	held, bytes := f.inFlight.Add(1), f.bodyBytes.Add(size)
 	// One that comes once a stop is asked for must have its answer before the process may be killed.
 	deadline := arrived + left
-	if until := time.Duration(f.until.Load()); until != 0 {
+	if until := time.Duration(f.killAt.Load()); until != 0 {
 		deadline = min(deadline, until)
 	}
-	if f.cfg.MostOpen > 0 && held > int64(f.cfg.MostOpen) || bytes > f.cfg.bodyBytes() || deadline <= f.clock.now() {
-		f.closing(w)
+	if f.cfg.MaxInFlight > 0 && held > int64(f.cfg.MaxInFlight) || bytes > f.cfg.maxBodyBytes() || deadline <= f.clock.now() {
+		f.closeIfDraining(w)
 		pause := time.Duration(float64(time.Second) * (0.5 + rand.Float64())) // spread: not all come back at once
-		refuse(w, min(pause, f.cfg.Policy.MaxRetryAfter))
+		writeUnavailable(w, min(pause, f.cfg.Policy.MaxRetryAfter))
 		return
 	}
-	client := watchClient(r.Context())
+	client := monitorClient(r.Context())
 	defer client.stop()
-	m := &message{method: r.Method, uri: r.RequestURI, host: r.Host, header: endToEnd(r.Header), body: body, left: client.left}
-	reply := make(chan answer, 1)
-	number := f.loop.ask(q, m, deadline, reply)
+	m := &outboundRequest{method: r.Method, uri: r.RequestURI, host: r.Host, header: endToEnd(r.Header), body: body, clientClosed: client.clientClosed}
+	reply := make(chan response, 1)
+	number := f.loop.submit(q, m, deadline, reply)
 	select {
 	case a := <-reply:
-		f.closing(w)
+		f.closeIfDraining(w)
 		a.write(w)
 		return
 	case <-r.Context().Done(): // the client has closed its connection
 	case <-client.gone: // or did so behind more that it has sent
 	}
-	f.loop.gone(number)
+	f.loop.clientGone(number)
 	panic(http.ErrAbortHandler) // net/http's way to close it with no answer
 }
 
-// enter takes an id into use. One that is open belongs to another request: upstreams would take a
+// reserveID takes an id into use. One that is open belongs to another request: upstreams would take a
 // second under it for a copy of the first.
-func (f *front) enter(id string) bool {
+func (f *ingress) reserveID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.open[id] {
+	if f.openIDs[id] {
 		return false
 	}
-	f.open[id] = true
+	f.openIDs[id] = true
 	return true
 }
 
-func (f *front) leave(id string) {
+func (f *ingress) releaseID(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, id)
+	delete(f.openIDs, id)
 }
 
 // readBody reads a body of the length that was told, within bodyTime: a client that tells more than
@@ -156,8 +156,8 @@
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTime)) // fails only on a closed connection, as the read does
-	body, err := io.ReadAll(r.Body)                       // which takes no more memory than has come
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // fails only on a closed connection, as the read does
+	body, err := io.ReadAll(r.Body)                          // which takes no more memory than has come
 	if err != nil {
 		return nil, &rejection{http.StatusRequestTimeout, "the body is shorter than Content-Length"}
 	}
@@ -165,17 +165,17 @@
 	return body, nil
 }
 
-// reject answers a request that can't be taken on and closes its connection: where it ends is not to
+// writeRejection answers a request that can't be taken on and closes its connection: where it ends is not to
 // be trusted. What is left of it is not waited for.
-func reject(w http.ResponseWriter, bad *rejection) {
+func writeRejection(w http.ResponseWriter, bad *rejection) {
 	w.Header().Set("Connection", "close") // or net/http would read the rest first
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectTime))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectedBodyTimeout))
 	http.Error(w, bad.reason, bad.status)
 }
 
-// read takes what a request says of itself. What is missing or malformed is a rejection: nothing of
+// parseRequest takes what a request says of itself. What is missing or malformed is a rejection: nothing of
 // it may reach the module or an upstream, whose 400 would count as the upstream's failure.
-func (f *front) read(r *http.Request) (q policy.Request, left time.Duration, bad *rejection) {
+func (f *ingress) parseRequest(r *http.Request) (q policy.Request, left time.Duration, bad *rejection) {
 	h := r.Header
 	no := func(status int, reason string) (policy.Request, time.Duration, *rejection) {
 		return policy.Request{}, 0, &rejection{status, reason}
@@ -191,7 +191,7 @@
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return no(http.StatusBadRequest, "the target is no path")
 	}
-	for _, name := range once {
+	for _, name := range singleValueHeaders {
 		if len(h[name]) > 1 {
 			return no(http.StatusBadRequest, name+" is given twice")
 		}
@@ -208,7 +208,7 @@
 		return no(http.StatusBadRequest, "the path is of another class than X-Priority-Class")
 	}
 	class, key := &f.cfg.Policy.Classes[q.Class], h.Get("Idempotency-Key")
-	if want := methods[class.Idempotency]; r.Method != want {
+	if want := methodFor[class.Idempotency]; r.Method != want {
 		return no(http.StatusMethodNotAllowed, "requests of this class are sent with "+want)
 	}
 	switch {
@@ -220,7 +220,7 @@
 		return no(http.StatusBadRequest, "GET has no body")
 	case class.Idempotency != policy.Idempotent && h["Content-Length"] == nil:
 		return no(http.StatusLengthRequired, "Content-Length is missing")
-	case r.ContentLength > bodyLimit:
+	case r.ContentLength > maxBodyBytes:
 		return no(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
 	if len(f.cfg.Tenants) > 0 {
@@ -228,11 +228,11 @@
 			return no(http.StatusBadRequest, "X-Tenant-Id names no tenant")
 		}
 	}
-	if left, ok = duration(h.Get("X-Timeout")); !ok || left <= 0 || left > farTimeout*class.Deadline {
+	if left, ok = parseTimeout(h.Get("X-Timeout")); !ok || left <= 0 || left > maxDeadlineMultiple*class.Deadline {
 		return no(http.StatusBadRequest, "X-Timeout is missing, malformed or out of range")
 	}
 	if cost := h.Get("X-Cost"); cost != "" {
-		if q.ExpectedWork, ok = duration(cost + "u"); !ok {
+		if q.ExpectedWork, ok = parseTimeout(cost + "u"); !ok {
 			return no(http.StatusBadRequest, "X-Cost is malformed")
 		}
 	}
@@ -245,13 +245,13 @@
 	return q, left, nil
 }
 
-// methods are what each effect's requests are sent with.
-var methods = map[policy.Idempotency]string{
+// methodFor are what each effect's requests are sent with.
+var methodFor = map[policy.Idempotency]string{
 	policy.Idempotent: http.MethodGet, policy.IdempotentByKey: http.MethodPost, policy.NonIdempotent: http.MethodPost,
 }
 
-// duration reads a number with the unit m (milliseconds) or u (microseconds).
-func duration(text string) (time.Duration, bool) {
+// parseTimeout reads a number with the unit m (milliseconds) or u (microseconds).
+func parseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -265,11 +265,11 @@
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(n*float64(unit), float64(longestWait))), true
+	return time.Duration(min(n*float64(unit), float64(maxTimeout))), true
 }
 
 // write sends the final answer to the client.
-func (a answer) write(w http.ResponseWriter) {
+func (a response) write(w http.ResponseWriter) {
 	switch a.status {
 	case http.StatusOK:
 		for name, values := range endToEnd(a.header) {
@@ -281,14 +281,14 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		_, _ = w.Write(a.body) // it fails if the client has gone: nobody is left to tell
 	case http.StatusServiceUnavailable:
-		refuse(w, a.pause)
+		writeUnavailable(w, a.retryAfter)
 	default:
 		w.WriteHeader(a.status)
 	}
 }
 
-// refuse answers that trying again is harmless, best after the pause.
-func refuse(w http.ResponseWriter, pause time.Duration) {
+// writeUnavailable answers that trying again is harmless, best after the pause.
+func writeUnavailable(w http.ResponseWriter, pause time.Duration) {
 	if pause > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
 	}
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -66,13 +66,13 @@
 		"head":              {405, side.request(t, "HEAD", "/look", "")},
 		"body on GET":       {400, side.request(t, "GET", "/look", "1")},
 		"key of no use":     {400, side.request(t, "POST", "/entry", "1", "Idempotency-Key", "k")},
-		"long body":         {413, side.request(t, "POST", "/entry", strings.Repeat("x", bodyLimit+1))},
+		"long body":         {413, side.request(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes+1))},
 	} {
 		if res, _ := do(t, c.req); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 	}
-	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", bodyLimit))); res.StatusCode != 200 || body != "done r1" {
+	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.seen) != 1 {
@@ -83,14 +83,14 @@
 func TestDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
-		"99999999999999999999m": longestWait,
+		"99999999999999999999m": maxTimeout,
 	} {
-		if got, ok := duration(text); !ok || got != want {
+		if got, ok := parseTimeout(text); !ok || got != want {
 			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
 		}
 	}
 	for _, text := range []string{"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m"} {
-		if got, ok := duration(text); ok {
+		if got, ok := parseTimeout(text); ok {
 			t.Errorf("%q was taken for %v", text, got)
 		}
 	}
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -79,7 +79,7 @@
 				if effect == policy.IdempotentByKey {
 					headers = append(headers, "Idempotency-Key", "k")
 				}
-				method, body := methods[effect], ""
+				method, body := methodFor[effect], ""
 				if effect != policy.Idempotent {
 					body = "1"
 				}
@@ -96,7 +96,7 @@
 					for len(s.seen) > 0 {
 						r := <-s.seen
 						sent++
-						if told, ok := duration(r.Header.Get("X-Timeout")); !ok || told > time.Duration(min(13000, d.aims[class]))*time.Millisecond {
+						if told, ok := parseTimeout(r.Header.Get("X-Timeout")); !ok || told > time.Duration(min(13000, d.aims[class]))*time.Millisecond {
 							t.Errorf("%s: a server may take %v over it, want the aim of %d ms at most", class, told, d.aims[class])
 						}
 					}
@@ -130,8 +130,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p := cfg.Policy; p.MaxAttempts != d.tries || cfg.DrainGrace != d.grace || float64(cfg.MostOpen) != s.Number("caps.max_open") ||
-			cfg.ConnIdle != s.Duration("caps.conn_idle_ms") || cfg.DialTimeout != s.Duration("caps.dial_timeout_ms") ||
+		if p := cfg.Policy; p.MaxAttempts != d.tries || cfg.DrainGrace != d.grace || float64(cfg.MaxInFlight) != s.Number("caps.max_open") ||
+			cfg.ServerIdleTimeout != s.Duration("caps.conn_idle_ms") || cfg.DialTimeout != s.Duration("caps.dial_timeout_ms") ||
 			p.MaxRetryAfter != s.Duration("caps.max_retry_after_ms") || p.PollsEndpoints != (s.Text("discovery") == "ask") ||
 			p.CrossZoneCost != s.Number("charges.cross_zone") || len(cfg.Tenants) != s.Count("orgs.count") {
 			t.Errorf("%s: %+v", d.file, cfg)
@@ -140,8 +140,8 @@
 		for i, tenant := range cfg.Policy.Tenants {
 			// a slot is a whole one, and two standard deviations are kept for chance
 			for j, other := range cfg.Policy.Tenants {
-				if tenant.Weight > other.Weight && l.b.FreeSlots(i) < l.b.FreeSlots(j) {
-					t.Errorf("%s: share %v has %d slots, share %v %d", d.file, tenant.Weight, l.b.FreeSlots(i), other.Weight, l.b.FreeSlots(j))
+				if tenant.Weight > other.Weight && l.balancer.FreeSlots(i) < l.balancer.FreeSlots(j) {
+					t.Errorf("%s: share %v has %d slots, share %v %d", d.file, tenant.Weight, l.balancer.FreeSlots(i), other.Weight, l.balancer.FreeSlots(j))
 				}
 			}
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	listenFor   = 8 * time.Second // an address in use is waited for: a restart is to be ready within 10 s
-	listenEvery = 20 * time.Millisecond
+	listenTimeout       = 8 * time.Second // an address in use is waited for: a restart is to be ready within 10 s
+	listenRetryInterval = 20 * time.Millisecond
 
-	lingerTime = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
+	minDrainTime = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
 
 	// The process may be killed once the longest deadline, or 3 s if that is longer, and 0.7 s more have
 	// passed since then. Answers are due a little before.
-	killDeadline = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
-	killMargin   = 100 * time.Millisecond
+	minKillDeadline = 3 * time.Second
+	killDelay       = 700 * time.Millisecond
+	killMargin      = 100 * time.Millisecond
 
 	// Where it is not killed, idle connections are closed so long after that: by then none is to be expected.
-	unkilledFor = 10 * time.Second
+	maxIdleDrainTime = 10 * time.Second
 )
 
 // Run listens and serves until ctx ends and everything taken by then is answered. Each signal on
@@ -40,9 +40,9 @@
 
 // listen takes an address. One that is in use is waited for: the process before this one may be ending still.
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	until := time.NewTimer(listenFor)
+	until := time.NewTimer(listenTimeout)
 	defer until.Stop()
-	again := time.NewTicker(listenEvery)
+	again := time.NewTicker(listenRetryInterval)
 	defer again.Stop()
 	for n := 0; ; n++ {
 		l, err := net.Listen("tcp", address)
@@ -65,28 +65,28 @@
 // serve wires the parts and starts them.
 func serve(ctx context.Context, cfg *Config, listener net.Listener, reload <-chan os.Signal) error {
 	c := newClock()
-	up := newUpstream(cfg, c)
-	l, err := newLoop(cfg, c, up)
+	up := newTransport(cfg, c)
+	l, err := newEventLoop(cfg, c, up)
 	if err != nil {
 		return err
 	}
-	d := newDiscovery(cfg, l.list, l.listFailed)
-	l.watch = d.ask
-	f := newFront(cfg, c, l)
-	p, err := newPeers(cfg)
+	d := newDiscoveryClient(cfg, l.endpointsChanged, l.endpointsFailed)
+	l.watchEndpoints = d.poll
+	f := newIngress(cfg, c, l)
+	p, err := newGossipTransport(cfg)
 	if err != nil { // messages only advise: the service goes on without
 		slog.Error("other sidecars can't be heard", "error", err)
 	}
 	l.peers = p
-	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(cfg.Known.servers))
+	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(cfg.CachedEndpoints.endpoints))
 
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
-	go l.run(running, cfg.Known)
+	go l.run(running, cfg.CachedEndpoints)
 	go d.run(running)
-	go p.run(running, l.heard)
+	go p.run(running, l.gossipReceived)
 	f.ready.Store(true)
-	accepted := newAcceptor(listener, cfg.clientConns())
+	accepted := newAcceptor(listener, cfg.maxClientConns())
 	server := f.server(accepted)
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(accepted) }()
@@ -97,7 +97,7 @@
 		case <-reload:
 			d.reload(cfg.Path)
 		case <-ctx.Done():
-			return f.drain(accepted, server, cfg.Longest)
+			return f.drain(accepted, server, cfg.MaxDeadline)
 		}
 	}
 }
@@ -106,23 +106,23 @@
 // for as long as they stay, and what crosses a close is lost where nobody listens for new ones any more. So
 // each connection closes with its next answer, new ones are taken all the while, and the end comes when
 // none is left. Idle ones hold it up until long after it may be killed.
-func (f *front) drain(a *acceptor, server *http.Server, longest time.Duration) error {
-	slog.Info("stopping", "held", f.held.Load())
-	kill := min(longest, killDeadline) + killAfter
-	f.until.Store(int64(f.clock.now() + kill - killMargin))
-	f.ready.Store(false)
-	unkilled := time.NewTimer(kill + unkilledFor)
+func (i *ingress) drain(listener *acceptor, server *http.Server, maxDeadline time.Duration) error {
+	slog.Info("stopping", "held", i.inFlight.Load())
+	kill := min(maxDeadline, minKillDeadline) + killDelay
+	i.killAt.Store(int64(i.clock.now() + kill - killMargin))
+	i.ready.Store(false)
+	unkilled := time.NewTimer(kill + maxIdleDrainTime)
 	defer unkilled.Stop()
-	<-time.After(lingerTime)
+	<-time.After(minDrainTime)
 	select {
-	case <-a.drained():
+	case <-listener.drained():
 	case <-unkilled.C:
 	}
-	end, cancel := context.WithTimeout(context.Background(), longest)
+	end, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
 	err := server.Shutdown(end)
-	slog.Info("stopped", "held", f.held.Load())
-	if errors.Is(err, context.DeadlineExceeded) && f.held.Load() == 0 {
+	slog.Info("stopped", "held", i.inFlight.Load())
+	if errors.Is(err, context.DeadlineExceeded) && i.inFlight.Load() == 0 {
 		return nil // what is left are connections that nothing came on
 	}
 	return err
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -32,7 +32,7 @@
 // that returns false the connection is closed.
 type stub struct {
 	address string
-	host    *host
+	host    *endpoint
 	seen    chan received
 	closed  chan int // connections that the other side has closed or that broke
 }
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &stub{address: l.Addr().String(), host: &host{address: l.Addr().String()}, seen: make(chan received, 1000), closed: make(chan int, 1000)}
+	s := &stub{address: l.Addr().String(), host: &endpoint{address: l.Addr().String()}, seen: make(chan received, 1000), closed: make(chan int, 1000)}
 	go func() {
 		for n := 0; ; n++ {
 			c, err := l.Accept()
--- a/internal/sidecar/told_test.go
+++ b/internal/sidecar/told_test.go
@@ -181,7 +181,7 @@
 	c := newClock()
 	o := &outage{way: way, from: time.Now().Add(1500 * time.Millisecond), length: length, turn: turn, drained: drained,
 		other: other, back: make(chan struct{})}
-	up := newUpstream(cfg, c)
+	up := newTransport(cfg, c)
 	var mu sync.Mutex
 	up.dial = func(_ context.Context, _, address string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
@@ -201,32 +201,32 @@
 		}()
 		return ours, nil
 	}
-	l, err := newLoop(cfg, c, up)
+	l, err := newEventLoop(cfg, c, up)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDiscovery(cfg, l.list, l.listFailed)
-	l.watch = d.ask
+	d := newDiscoveryClient(cfg, l.endpointsChanged, l.endpointsFailed)
+	l.watchEndpoints = d.poll
 	d.dial = o.dial
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
-	parts.Go(func() { l.run(ctx, cfg.Known) })
+	parts.Go(func() { l.run(ctx, cfg.CachedEndpoints) })
 	parts.Go(func() { d.run(ctx) })
 	time.AfterFunc(time.Until(o.from), o.breakWatches)
 	for o.since() < counts+4*time.Second { // which comes, as calls go on being made
 		time.Sleep(50 * time.Millisecond)
-		reply := make(chan answer, 1)
-		l.ask(policy.Request{Class: cfg.Classes["look"]}, testMessage("1"), c.now()+generous, reply)
+		reply := make(chan response, 1)
+		l.submit(policy.Request{Class: cfg.Classes["look"]}, testMessage("1"), c.now()+generous, reply)
 		<-reply
 	}
 	cancel()
 	parts.Wait()
-	d.hangUp()
+	d.closeIdle()
 	o.mu.Lock()
 	for _, c := range o.watches {
 		c.Close()
 	}
 	o.mu.Unlock()
-	time.Sleep(watchMost) // until the model has noticed
+	time.Sleep(maxWatchTime) // until the model has noticed
 	return late, others
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/transport_test.go
@@ -11,31 +11,31 @@
 	"cranehatch/policy"
 )
 
-func testUpstream(t *testing.T) *upstream {
+func testUpstream(t *testing.T) *transport {
 	t.Helper()
-	u := newUpstream(testConfig(t, listed(1, "ready"), nil), newClock())
-	u.settle = 0 // where that is not what a test is about
+	u := newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
+	u.minIdle = 0 // where that is not what a test is about
 	return u
 }
 
-func testMessage(id string) *message {
-	return &message{
+func testMessage(id string) *outboundRequest {
+	return &outboundRequest{
 		method: http.MethodPost, uri: "/reading", host: "service.internal", body: []byte("weight"),
 		header: http.Header{"X-Request-Id": {id}, "Idempotency-Key": {"k" + id}},
 	}
 }
 
 // attempt sends one and waits for its end.
-func attempt(t *testing.T, u *upstream, to *host, id string, limit time.Duration) result {
+func attempt(t *testing.T, u *transport, to *endpoint, id string, limit time.Duration) attemptResult {
 	t.Helper()
-	done := make(chan result, 2)
-	u.send(to, testMessage(id), u.clock.now()+limit, 0, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	u.send(to, testMessage(id), u.clock.now()+limit, 0, func(r attemptResult) { done <- r })
 	return wait(t, "the end of an attempt", done)
 }
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
 func TestEndings(t *testing.T) {
-	long := strings.Repeat("x", bodyLimit+1)
+	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, c := range map[string]struct {
 		answer string
 		ending policy.Result
@@ -67,9 +67,9 @@
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testUpstream(t)
-			if got := attempt(t, u, s.host, "1", generous); got.ending != c.ending {
-				t.Fatalf("ending %v, want %v", got.ending, c.ending)
-			} else if got.ending == policy.Succeeded && string(got.body) != "hi" {
+			if got := attempt(t, u, s.host, "1", generous); got.outcome != c.ending {
+				t.Fatalf("ending %v, want %v", got.outcome, c.ending)
+			} else if got.outcome == policy.Succeeded && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
 			}
 			if idle := len(u.idle[s.host]); idle != 0 != c.kept || u.open != idle {
@@ -90,8 +90,8 @@
 	})
 	u := testUpstream(t)
 	attempt(t, u, s.host, "1", generous)
-	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.ConnectionLost {
-		t.Fatalf("ending %v, want %v", got.ending, policy.ConnectionLost)
+	if got := attempt(t, u, s.host, "2", generous); got.outcome != policy.ConnectionLost {
+		t.Fatalf("ending %v, want %v", got.outcome, policy.ConnectionLost)
 	}
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn != second.conn || len(s.seen) > 0 {
 		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.seen))
@@ -116,16 +116,16 @@
 	attempt(t, u, s.host, "1", generous)
 	close(hangUp)
 	wait(t, "the server to close", gone)
-	for end := time.Now().Add(generous); standing(u.idle[s.host][0].Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(generous); connAlive(u.idle[s.host][0].Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the news has long crossed the loopback
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, s.host, "2", generous); got.ending != policy.Succeeded {
-		t.Fatalf("ending %v, want %v", got.ending, policy.Succeeded)
+	if got := attempt(t, u, s.host, "2", generous); got.outcome != policy.Succeeded {
+		t.Fatalf("ending %v, want %v", got.outcome, policy.Succeeded)
 	}
-	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
-		t.Errorf("stale %d, dialled %d, open %d, want 1, 2, 1", u.stale, u.dialled, u.open)
+	if u.stale != 1 || u.dialed != 2 || u.open != 1 {
+		t.Errorf("stale %d, dialled %d, open %d, want 1, 2, 1", u.stale, u.dialed, u.open)
 	}
 }
 
@@ -135,17 +135,17 @@
 	u := testUpstream(t)
 	attempt(t, u, s.host, "1", generous)
 	u.mu.Lock()
-	u.idle[s.host][0].idleSince -= u.keep
+	u.idle[s.host][0].idleSince -= u.idleTimeout
 	u.mu.Unlock()
-	u.sweep()
+	u.closeExpired()
 	wait(t, "the old connection to close", s.closed)
 	attempt(t, u, s.host, "2", generous)
 	u.mu.Lock()
-	u.idle[s.host][0].idleSince -= u.keep
+	u.idle[s.host][0].idleSince -= u.idleTimeout
 	u.mu.Unlock()
 	attempt(t, u, s.host, "3", generous)
-	if u.dialled != 3 || u.open != 1 {
-		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
+	if u.dialed != 3 || u.open != 1 {
+		t.Errorf("dialled %d, open %d, want 3, 1", u.dialed, u.open)
 	}
 }
 
@@ -155,8 +155,8 @@
 	for i := range 5 {
 		attempt(t, u, s.host, fmt.Sprint(i), generous)
 	}
-	if u.dialled != 1 {
-		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
+	if u.dialed != 1 {
+		t.Errorf("%d connections for five requests one after the other, want 1", u.dialed)
 	}
 }
 
@@ -171,9 +171,9 @@
 		return echo(c, r)
 	})
 	u := testUpstream(t)
-	done := make(chan result, 2)
+	done := make(chan attemptResult, 2)
 	for _, id := range []string{"1", "2"} { // at the same time, so on two connections
-		u.send(s.host, testMessage(id), u.clock.now()+generous, 0, func(r result) { done <- r })
+		u.send(s.host, testMessage(id), u.clock.now()+generous, 0, func(r attemptResult) { done <- r })
 		wait(t, "a request", s.seen)
 	}
 	close(both)
@@ -194,16 +194,16 @@
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
 	u := testUpstream(t)
-	u.most = 1
+	u.maxConns = 1
 	attempt(t, u, a.host, "1", generous)
-	if got := attempt(t, u, b.host, "2", generous); got.ending != policy.Succeeded || u.open != 1 {
-		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
+	if got := attempt(t, u, b.host, "2", generous); got.outcome != policy.Succeeded || u.open != 1 {
+		t.Errorf("ending %v, %d open, want served over the one connection", got.outcome, u.open)
 	}
-	done := make(chan result, 1)
-	x := u.send(mute.host, testMessage("3"), u.clock.now()+generous, 0, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	x := u.send(mute.host, testMessage("3"), u.clock.now()+generous, 0, func(r attemptResult) { done <- r })
 	wait(t, "the request", mute.seen)
-	if got := attempt(t, u, a.host, "4", generous); got.ending != policy.NotSent { // no word on the server
-		t.Errorf("ending %v, want %v", got.ending, policy.NotSent)
+	if got := attempt(t, u, a.host, "4", generous); got.outcome != policy.NotSent { // no word on the server
+		t.Errorf("ending %v, want %v", got.outcome, policy.NotSent)
 	}
 	x.cancel()
 	wait(t, "the cancelled attempt", done)
@@ -217,8 +217,8 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testUpstream(t)
-	if got := attempt(t, u, &host{address: address}, "1", generous); got.ending != policy.ConnectFailed || u.open != 0 {
-		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, policy.ConnectFailed)
+	if got := attempt(t, u, &endpoint{address: address}, "1", generous); got.outcome != policy.ConnectFailed || u.open != 0 {
+		t.Fatalf("ending %v, %d open, want %v and none", got.outcome, u.open, policy.ConnectFailed)
 	}
 }
 
@@ -226,10 +226,10 @@
 func TestSilentServer(t *testing.T) {
 	s := newStub(t, silent)
 	u := testUpstream(t)
-	if got := attempt(t, u, s.host, "1", 30*time.Millisecond); got.ending != policy.TimedOut {
+	if got := attempt(t, u, s.host, "1", 30*time.Millisecond); got.outcome != policy.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
-		if got.ending != policy.ConnectFailed || len(s.seen) > 0 {
-			t.Fatalf("ending %v, want %v", got.ending, policy.TimedOut)
+		if got.outcome != policy.ConnectFailed || len(s.seen) > 0 {
+			t.Fatalf("ending %v, want %v", got.outcome, policy.TimedOut)
 		}
 	}
 	if u.open != 0 {
@@ -241,13 +241,13 @@
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, silent)
 	u := testUpstream(t)
-	done := make(chan result, 2)
-	x := u.send(s.host, testMessage("1"), u.clock.now()+generous, 0, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	x := u.send(s.host, testMessage("1"), u.clock.now()+generous, 0, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
 	x.cancel()
 	x.cancel()
-	if got := wait(t, "its end", done); got.ending != policy.Cancelled {
-		t.Errorf("ending %v, want %v", got.ending, policy.Cancelled)
+	if got := wait(t, "its end", done); got.outcome != policy.Cancelled {
+		t.Errorf("ending %v, want %v", got.outcome, policy.Cancelled)
 	}
 	wait(t, "the connection to close", s.closed)
 	if len(done) > 0 || u.open != 0 {
@@ -269,10 +269,10 @@
 			t.Errorf("ending %v, want %v", ending, policy.Cancelled)
 		}
 		x.cancel() // once more: the connection is not its own any more
-		if list := u.idle[s.host]; i == 0 && (len(list) != 1 || !standing(list[0].Conn)) {
+		if list := u.idle[s.host]; i == 0 && (len(list) != 1 || !connAlive(list[0].Conn)) {
 			t.Fatal("the connection, which nothing was written to, is not kept")
 		}
-		u.close(s.host)
+		u.closeIdle(s.host)
 	}
 	attempt(t, u, s.host, "3", generous)
 	if wait(t, "1", s.seen); wait(t, "3", s.seen).Header.Get("X-Request-ID") != "3" {
@@ -285,7 +285,7 @@
 	s := newStub(t, echo)
 	attempt(t, testUpstream(t), s.host, "7", generous)
 	r := wait(t, "the request", s.seen)
-	left, ok := duration(r.Header.Get("X-Timeout"))
+	left, ok := parseTimeout(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
 		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || left <= 0 || left > generous {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.uri, r.body, r.Host, r.Header)
@@ -302,10 +302,10 @@
 		return echo(c, r)
 	})
 	u := testUpstream(t)
-	u.settle = generous
+	u.minIdle = generous
 	attempt(t, u, s.host, "1", generous)
 	if got := attempt(t, u, s.host, "2", generous); string(got.body) != "done 2" {
-		t.Errorf("ending %v, body %q, want the answer to the request", got.ending, got.body)
+		t.Errorf("ending %v, body %q, want the answer to the request", got.outcome, got.body)
 	}
 }
 
@@ -318,7 +318,7 @@
 	})
 	u := testUpstream(t)
 	attempt(t, u, s.host, "1", generous)
-	u.settle = generous // so that the next ones take a new connection
+	u.minIdle = generous // so that the next ones take a new connection
 	attempt(t, u, s.host, "brief", 100*time.Millisecond)
 	if len(u.idle[s.host]) != 1 {
 		t.Fatal("an attempt that had less time than a connection may take tells nothing")
@@ -338,13 +338,13 @@
 		return echo(c, r)
 	})
 	u := testUpstream(t)
-	done := make(chan result, 1)
-	u.send(s.host, testMessage("1"), u.clock.now()+generous, 0, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	u.send(s.host, testMessage("1"), u.clock.now()+generous, 0, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
-	u.leave(s.host)
+	u.remove(s.host)
 	close(release)
-	if got := wait(t, "its end", done); got.ending != policy.Succeeded || u.open != 0 || len(u.idle) != 0 {
-		t.Errorf("ending %v, %d connections open, want served and none", got.ending, u.open)
+	if got := wait(t, "its end", done); got.outcome != policy.Succeeded || u.open != 0 || len(u.idle) != 0 {
+		t.Errorf("ending %v, %d connections open, want served and none", got.outcome, u.open)
 	}
 }
 
@@ -364,7 +364,7 @@
 		})
 		u := testUpstream(t)
 		done := make(chan told, 2)
-		u.probe(s.host, u.clock.now(), func(ok bool, load policy.LoadReport) { done <- told{ok, load} })
+		u.healthCheck(s.host, u.clock.now(), func(ok bool, load policy.LoadReport) { done <- told{ok, load} })
 		got := wait(t, "the result", done)
 		load := policy.LoadReport{
 			Fields:   policy.HasInFlight | policy.HasServiceTime | policy.HasThroughput,
