--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -106,11 +106,11 @@
 // for as long as they stay, and what crosses a close is lost where nobody listens for new ones any more. So
 // each connection closes with its next answer, new ones are taken all the while, and the end comes when
 // none is left. Idle ones hold it up until long after it may be killed.
-func (i *ingress) drain(listener *acceptor, server *http.Server, maxDeadline time.Duration) error {
-	slog.Info("stopping", "held", i.inFlight.Load())
+func (f *ingress) drain(listener *acceptor, server *http.Server, maxDeadline time.Duration) error {
+	slog.Info("stopping", "held", f.inFlight.Load())
 	kill := min(maxDeadline, minKillDeadline) + killDelay
-	i.killAt.Store(int64(i.clock.now() + kill - killMargin))
-	i.ready.Store(false)
+	f.killAt.Store(int64(f.clock.now() + kill - killMargin))
+	f.ready.Store(false)
 	unkilled := time.NewTimer(kill + maxIdleDrainTime)
 	defer unkilled.Stop()
 	<-time.After(minDrainTime)
@@ -121,8 +121,8 @@
 	end, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
 	err := server.Shutdown(end)
-	slog.Info("stopped", "held", i.inFlight.Load())
-	if errors.Is(err, context.DeadlineExceeded) && i.inFlight.Load() == 0 {
+	slog.Info("stopped", "held", f.inFlight.Load())
+	if errors.Is(err, context.DeadlineExceeded) && f.inFlight.Load() == 0 {
 		return nil // what is left are connections that nothing came on
 	}
 	return err
