--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -98,7 +98,7 @@
 }
 func (i *instance) Broadcast(n policy.GossipMessage) { i.host.reply.Post(i.number, gossip.Encode(n)) }
 func (i *instance) WatchEndpoints()                  { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)                  { i.host.reply.WriteLog(i.number, line) }
+func (i *instance) Log(e policy.HealthEvent)         { i.host.reply.WriteLog(i.number, e.String()) }
 
 // batch hands the events of one batch to their instances, in order.
 func (h *host) batch(b simprotocol.Batch) error {
@@ -193,7 +193,7 @@
 func (i *instance) event(now time.Duration, rec simprotocol.Record) error {
 	if now >= i.logAt {
 		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
-			i.Log(fmt.Sprintf("counters %+v", i.b.Counters()))
+			i.host.reply.WriteLog(i.number, fmt.Sprintf("counters %+v", i.b.Counters()))
 		}
 		i.logAt = now + logEvery
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -141,9 +141,9 @@
 	for setting, field := range map[string]string{
 		"rules.further_ratio=-1\nrules.budget_span_ms=1000\n": "Budget",
 		"rules.further_ratio=0.2\n":                           "Budget",
-		"rules.let_go_in_ms=-5\n":                             "CloseWithin",
+		"rules.let_go_in_ms=-5\n":                             "DrainCloseTimeout",
 		"rules.order_settle_ms=x\n":                           "rules.order_settle_ms",
-		"rules.cold_from=2\n":                                 "ColdFrom",
+		"rules.cold_from=2\n":                                 "SlowStartFraction",
 	} {
 		info := settings + setting
 		err := serve(bytes.NewReader(batch(1, 0, record(simprotocol.EvOpenInstance, uint32(1), uint64(5),
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -109,7 +109,7 @@
 }
 
 // Log is left out: its texts are for people and may change.
-func (h *goldenHost) Log(line string) { h.s.Log(line) }
+func (h *goldenHost) Log(e policy.HealthEvent) { h.s.Log(e) }
 
 // newGoldenRecord records a service that has not run yet.
 func newGoldenRecord(t testing.TB, f *Service) *goldenRecord {
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -350,7 +350,7 @@
 func (s *sidecar) HealthCheck(policy.EndpointID) {}
 
 // Log is for people.
-func (s *sidecar) Log(string) {}
+func (s *sidecar) Log(policy.HealthEvent) {}
 
 // WatchEndpoints has the list followed.
 func (s *sidecar) WatchEndpoints() {
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -341,4 +341,6 @@
 func (l *eventLoop) WatchEndpoints() { l.watchEndpoints() }
 
 // Log writes a line for the people on call.
-func (l *eventLoop) Log(line string) { slog.Info("module", "says", line) }
+func (l *eventLoop) Log(e policy.HealthEvent) {
+	slog.Info("endpoint health changed", "event", e.String())
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -87,7 +87,7 @@
 	var wake time.Duration
 	told, owed, news := 1, 0.0, 0
 	hear := func() {
-		for owed += float64(peers-1) * float64(apart) / float64(x.objectives(tellAims)); owed >= 1; owed-- {
+		for owed += float64(peers-1) * float64(apart) / float64(x.objective.times(broadcastInterval)); owed >= 1; owed-- {
 			x.ReceiveGossip(now, told, GossipMessage{SentAt: now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
 			told, news = told%(peers-1)+1, news+1
 		}
@@ -100,7 +100,7 @@
 		}
 		if now >= wake {
 			x.TimerFired(now)
-			wake = now + busyTick
+			wake = now + activeTimerInterval
 		}
 	}
 	for range 20 * benchRate { // until its rate is known, and as many as can be have told
--- /dev/null
+++ b/policy/draining.go
@@ -0,0 +1,35 @@
+package policy
+
+import (
+	"cmp"
+	"time"
+)
+
+// idleCloser closes idle connections to draining endpoints.
+type idleCloser struct {
+	repeatAt time.Duration // when they are closed once more; 0: not scheduled
+}
+
+// closeIdle closes the idle connections to an endpoint that gets nothing new:
+// now and, as one may be opening just then, once more.
+func (b *Balancer) closeIdle(now time.Duration, e *endpoint) {
+	if b.cfg.DrainCloseTimeout > 0 {
+		b.host.CloseIdle(e.ID)
+		b.idleCloser.repeatAt = cmp.Or(b.idleCloser.repeatAt, now+b.cfg.DrainCloseTimeout/2)
+		b.setTimer(now, b.idleCloser.repeatAt-now)
+	}
+}
+
+// closeIdleAgain closes the idle connections to all draining endpoints once
+// more, when that is due.
+func (b *Balancer) closeIdleAgain(now time.Duration) {
+	if b.idleCloser.repeatAt == 0 || now < b.idleCloser.repeatAt {
+		return
+	}
+	b.idleCloser.repeatAt = 0
+	for _, e := range b.endpoints.all {
+		if e.State == Draining {
+			b.host.CloseIdle(e.ID)
+		}
+	}
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -23,7 +23,7 @@
 func (sidecar) HealthCheck(to policy.EndpointID)        {}
 func (sidecar) Broadcast(n policy.GossipMessage)        {}
 func (sidecar) WatchEndpoints()                         {}
-func (sidecar) Log(line string)                         { fmt.Println(line) }
+func (sidecar) Log(e policy.HealthEvent)                { fmt.Println(e) }
 
 func Example() {
 	b, err := policy.New(policy.Config{
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -55,7 +55,7 @@
 func (h *goldenHost) CloseIdle(to EndpointID)          { h.note(6, uint64(to)) }
 func (h *goldenHost) HealthCheck(to EndpointID)        { h.note(7, uint64(to)) }
 func (h *goldenHost) WatchEndpoints()                  { h.note(8) }
-func (h *goldenHost) Log(string)                       {}
+func (h *goldenHost) Log(HealthEvent)                  {}
 
 func (h *goldenHost) Broadcast(n GossipMessage) {
 	h.note(9, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -27,7 +27,7 @@
 	closes    []EndpointID
 	asks      int
 	tells     []GossipMessage
-	log       []string
+	log       []HealthEvent
 	trace     []string
 }
 
@@ -84,9 +84,9 @@
 	h.note("tell %+v", n)
 }
 
-func (h *fakeHost) Log(line string) {
-	h.log = append(h.log, line)
-	h.note("log %s", line)
+func (h *fakeHost) Log(e HealthEvent) {
+	h.log = append(h.log, e)
+	h.note("log %s", e)
 }
 
 // sentTo counts the attempts sent to a server.
@@ -182,8 +182,9 @@
 
 // forgetAsked has admission begin anew, where a test is not about it.
 func forgetAsked(b *Balancer) {
-	for i := range b.classes {
-		b.classes[i].recent = recentRequests{}
+	for i := range b.admission.demand {
+		d := &b.admission.demand[i]
+		d.offered, d.goodput = 0, 0
 	}
 }
 
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -47,14 +47,14 @@
 // Guards against one slow answer of its own closing the walls of a balancer of few requests.
 func TestFleetTellsHowCrowdedServersAre(t *testing.T) {
 	b, _ := start(t, newsConfig(), ready(1, 2))
-	b.congestion = 4
+	b.congestion.meanSquare = 4
 	alone := b.concurrencyLimit(time.Hour)
 	for i := 1; i < 4; i++ {
 		b.ReceiveGossip(time.Hour, i, GossipMessage{SentAt: time.Hour, RequestRate: 25, Responses: 20, Congestion: 0.01})
 	}
-	b.requestRate, b.requestRateAt = 25, time.Hour
-	if told := b.concurrencyLimit(time.Hour); alone != 1 || told != float64(b.slots) {
-		t.Fatalf("wall at %v alone and %v once told, want 1 and all %d slots", alone, told, b.slots)
+	b.traffic = requestRate{25, time.Hour}
+	if told := b.concurrencyLimit(time.Hour); alone != 1 || told != float64(b.bulkheads.slots) {
+		t.Fatalf("wall at %v alone and %v once told, want 1 and all %d slots", alone, told, b.bulkheads.slots)
 	}
 	if later := b.concurrencyLimit(time.Hour + time.Minute); later != 1 {
 		t.Fatalf("wall at %v, want its own measure again once news is old", later)
@@ -68,7 +68,7 @@
 		for i := 1; i < 4; i++ {
 			b.ReceiveGossip(time.Hour, i, GossipMessage{SentAt: time.Hour, RequestRate: others, Responses: 20, Congestion: 0.1})
 		}
-		b.requestRate, b.requestRateAt = own, time.Hour
+		b.traffic = requestRate{own, time.Hour}
 		return b.concurrencyLimit(time.Hour)
 	}
 	if busy, idle := wall(90, 3), wall(1, 33); busy < 3*idle || idle != 1 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,7 +45,7 @@
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
 		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
 	}
-	b.congestion = 0.2 // answers are slow
+	b.congestion.meanSquare = 0.2 // answers are slow
 	left(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
 		t.Fatal("a late try took a slot while answers were slow")
@@ -348,7 +348,7 @@
 		t.Fatalf("a server that never answered got %d of 300 first sends", n)
 	}
 	if len(h.log) != 1 {
-		t.Fatalf("log %q: want one line", h.log)
+		t.Fatalf("log %v: want one line", h.log)
 	}
 }
 
@@ -357,9 +357,9 @@
 func TestSlowServerHoldsLess(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
-		b.endpoint(1).congestion += (0.8*0.8 - b.endpoint(1).congestion) / 8
+		b.endpoints.find(1).congestion += (0.8*0.8 - b.endpoints.find(1).congestion) / 8
 	}
-	if slow, well := b.endpointLimit(b.endpoint(1)), b.endpointLimit(b.endpoint(2)); slow != 1 || well != 4 {
+	if slow, well := b.endpointLimit(b.endpoints.find(1)), b.endpointLimit(b.endpoints.find(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
@@ -370,7 +370,7 @@
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion = 0.36 // answers take 0.6 of the aim
+	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
@@ -379,7 +379,7 @@
 			len(h.sends), b.Counters().ConcurrencyLimited)
 	}
 	b, h = start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion = 0.13 // over the measure of a server, not yet over that of all
+	b.congestion.meanSquare = 0.13 // over the measure of a server, not yet over that of all
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
@@ -429,7 +429,7 @@
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion = 0.36 // answers take 0.6 of the aim
+	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
 		ask(b, 0, id, safeClass)
 	}
@@ -442,7 +442,7 @@
 			b.ClientDisconnected(ms, id)
 		}
 	}
-	b.congestion = 0
+	b.congestion.meanSquare = 0
 	for id := range RequestID(6) {
 		if h.sentFor(id) > 0 {
 			end(b, 2*ms, id, 0, Succeeded)
@@ -521,7 +521,7 @@
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.comparisons, b.changedReports = pairsMost, pairsMost // reports were found fresh
+	b.sampler.comparisons, b.sampler.changes = comparisonsNeeded, comparisonsNeeded // reports were found fresh
 	ask(b, 0, 1, safeClass)
 	if len(h.probes) != 1 || len(h.sends) != 0 {
 		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.probes), len(h.sends))
@@ -539,9 +539,9 @@
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.TimerFired(now) // no report comes
 	}
-	if n := len(h.probes) - 2; n != askMost || len(h.sends) != 1 {
+	if n := len(h.probes) - 2; n != maxHealthChecks || len(h.sends) != 1 {
 		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
-			n, len(h.sends), askMost)
+			n, len(h.sends), maxHealthChecks)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
 		b.TimerFired(now)
@@ -557,7 +557,7 @@
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.comparisons, b.changedReports = pairsMost, pairsMost // reports were found fresh
+	b.sampler.comparisons, b.sampler.changes = comparisonsNeeded, comparisonsNeeded // reports were found fresh
 	ask(b, 0, 1, safeClass)
 	drains := h.probes[0]
 	b.HealthChecked(ms, drains, false, LoadReport{})
@@ -608,7 +608,7 @@
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	for over, want := range map[float64]int{1.5: 1, 2.5: 0} {
 		b, h := start(t, cfg, ready(1))
-		b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: b.fleetConcurrency + over})
+		b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: b.fleetInFlight + over})
 		if ask(b, 2*ms, 1, safeClass); len(h.sends) != want {
 			t.Errorf("%d sends at %v over its part, want %d", len(h.sends), over, want)
 		}
@@ -630,7 +630,7 @@
 	}
 	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
 	b.HealthChecked(2*ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 5})
-	if !b.reportedFull(2*ms, &request{}, b.endpoint(1)) {
+	if !b.reportsFull(2*ms, &request{}, b.endpoints.find(1)) {
 		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
 	}
 }
@@ -656,7 +656,7 @@
 	if len(gaps) < 4 || slices.Max(gaps) >= cfg.PollInterval || gaps[0] >= gaps[len(gaps)-1] {
 		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.PollInterval)
 	}
-	if b.endpoint(1) == nil {
+	if b.endpoints.find(1) == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
 	b.UpdateEndpoints(40*time.Second, FullUpdate, ready(1))
@@ -776,9 +776,9 @@
 	}
 	b.TimerFired(time.Hour)
 	// A few had their second attempt after a pause, behind the end that this test told of.
-	if len(b.requests) > 20 || len(b.openRequests) > 3 || len(b.endpoints) != 2 || cap(b.openRequests) > 100 {
+	if len(b.requests) > 20 || len(b.open) > 3 || len(b.endpoints.all) != 2 || cap(b.open) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints))
+			len(b.requests), len(b.open), cap(b.open), len(b.endpoints.all))
 	}
 }
 
@@ -788,9 +788,9 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.Balancers = balancers
 		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotAim + 2*spread*math.Sqrt(100*slotAim) + 2
-		if b.slots < 2 || float64(b.slots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
+		whole := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
+		if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > whole {
+			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.bulkheads.slots, whole)
 		}
 		if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.FreeSlots(0), b.FreeSlots(1))
@@ -799,28 +799,28 @@
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
 	b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
-	if len(b.bulkheads) != 1 || b.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads), b.slots, len(h.sends))
+	if len(b.bulkheads.all) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads.all), b.bulkheads.slots, len(h.sends))
 	}
 }
 
 func TestNewNamesTheUnusableField(t *testing.T) {
 	for field, spoil := range map[string]func(*Config){
-		"Balancers":     func(c *Config) { c.Balancers = 0 },
-		"Classes":       func(c *Config) { c.Classes = nil },
-		"MaxAttempts":   func(c *Config) { c.MaxAttempts = 0 },
-		"Slots":         func(c *Config) { c.Slots = -1 },
-		"ColdFrom":      func(c *Config) { c.SlowStartFraction = 1.5 },
-		"ColdMultiple":  func(c *Config) { c.OverloadFactor = math.Inf(1) },
-		"ColdTime":      func(c *Config) { c.SlowStartDuration = -1 },
-		"Tick":          func(c *Config) { c.EventInterval = -1 },
-		"Aim":           func(c *Config) { c.Classes[2].LatencyObjective = 0 },
-		"Deadline":      func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateShare":     func(c *Config) { c.Classes[0].LateValue = math.NaN() },
-		"Share":         func(c *Config) { c.Tenants[1].Weight = -0.1 },
-		"Quota":         func(c *Config) { c.Tenants[1].Quota = math.NaN() },
-		"adds up to 0":  func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
-		"MaxRetryAfter": func(c *Config) { c.MaxRetryAfter = -1 },
+		"Balancers":         func(c *Config) { c.Balancers = 0 },
+		"Classes":           func(c *Config) { c.Classes = nil },
+		"MaxAttempts":       func(c *Config) { c.MaxAttempts = 0 },
+		"Slots":             func(c *Config) { c.Slots = -1 },
+		"SlowStartFraction": func(c *Config) { c.SlowStartFraction = 1.5 },
+		"OverloadFactor":    func(c *Config) { c.OverloadFactor = math.Inf(1) },
+		"SlowStartDuration": func(c *Config) { c.SlowStartDuration = -1 },
+		"EventInterval":     func(c *Config) { c.EventInterval = -1 },
+		"LatencyObjective":  func(c *Config) { c.Classes[2].LatencyObjective = 0 },
+		"Deadline":          func(c *Config) { c.Classes[0].Deadline = -1 },
+		"LateValue":         func(c *Config) { c.Classes[0].LateValue = math.NaN() },
+		"Weight":            func(c *Config) { c.Tenants[1].Weight = -0.1 },
+		"Quota":             func(c *Config) { c.Tenants[1].Quota = math.NaN() },
+		"adds up to 0":      func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
+		"MaxRetryAfter":     func(c *Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -877,10 +877,10 @@
 			list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 		}
 		b, _ := start(t, cfg, list)
-		if got := len(b.subset); got != 9 { // 9 requests a second, a turn every second
+		if got := len(b.subset.endpoints); got != 9 { // 9 requests a second, a turn every second
 			t.Fatalf("an arc of %d servers, want 9", got)
 		}
-		for _, s := range b.subset {
+		for _, s := range b.subset.endpoints {
 			cover[s.ID]++
 		}
 	}
@@ -897,7 +897,7 @@
 		ask(b, time.Duration(i)*10*ms, RequestID(i), safeClass)
 		end(b, time.Duration(i)*10*ms+5*ms, RequestID(i), 0, Succeeded)
 	}
-	if got := len(b.subset); got != 20 {
+	if got := len(b.subset.endpoints); got != 20 {
 		t.Fatalf("a busy balancer keeps to %d of 20 servers", got)
 	}
 }
@@ -919,7 +919,7 @@
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		for id := range EndpointID(servers) {
 			if id != 5 {
-				b.endpoint(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
+				b.endpoints.find(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
 			}
 		}
 		b.UpdateEndpoints(10*time.Second, DeltaUpdate, []Endpoint{{ID: 5, State: Ready, Weight: 1, StartedAt: 10 * time.Second}})
@@ -1172,7 +1172,10 @@
 	b, _ := start(t, cfg, ready(1, 2))
 	var let [2]int
 	for i := range 2000 {
-		b.classes[0].recent, b.classes[1].recent = recentRequests{offered: 20, goodput: 8}, recentRequests{offered: 20, goodput: 8}
+		for i := range b.admission.demand {
+			d := &b.admission.demand[i]
+			d.offered, d.goodput = 20, 8
+		}
 		if b.admit(0, &request{class: &b.classes[i%2]}) {
 			let[i%2]++
 		}
@@ -1231,7 +1234,7 @@
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].PriorityWeight = 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.bulkheads[0].slots, b.bulkheads[0].queueCapacity = 1, 2
+	b.bulkheads.all[0].slots, b.bulkheads.all[0].queueCapacity = 1, 2
 	ask(b, 0, 1, 0) // has the slot
 	ask(b, 0, 2, 0)
 	ask(b, 0, 3, 0) // the queue is full
@@ -1259,7 +1262,7 @@
 	cfg := testConfig()
 	cfg.ClientsMarkRetries, cfg.MaxAttempts = true, 1
 	b, h := start(t, cfg, ready(1, 2))
-	b.congestion = 4 // crowded: what is late is refused
+	b.congestion.meanSquare = 4 // crowded: what is late is refused
 	try := func(now time.Duration, id RequestID, key uint64, repeat bool) (sent bool) {
 		n := len(h.sends)
 		b.Request(now, Request{ID: id, Class: safeClass, Key: key, Timeout: 2 * time.Second, ClientRetry: repeat})
@@ -1278,15 +1281,15 @@
 		t.Error("a first try was taken for late")
 	}
 	end(b, 970*ms, 3, 0, Succeeded)
-	b.congestion = 4
+	b.congestion.meanSquare = 4
 	if try(971*ms, 4, 7, true) || b.Counters().ExpiredRetries != 1 {
 		t.Errorf("a repeat whose aim is as good as gone was sent, late %d", b.Counters().ExpiredRetries)
 	}
 	if now := 4 * time.Second; !try(now, 5, 7, true) {
 		t.Error("what was given up long ago still makes repeats late")
 	}
-	if len(b.abandoned) > 1 {
-		t.Errorf("%d requests given up long ago are still remembered", len(b.abandoned))
+	if len(b.clientRetries.abandoned) > 1 {
+		t.Errorf("%d requests given up long ago are still remembered", len(b.clientRetries.abandoned))
 	}
 }
 
@@ -1296,17 +1299,17 @@
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.congestion = 4
-	before := recentRequests{offered: 40, goodput: 1}
-	b.classes[safeClass].recent = before
+	b.congestion.meanSquare = 4
+	before := classDemand{priority: b.classes[safeClass].PriorityWeight, offered: 40, goodput: 1}
+	b.admission.demand[safeClass] = before
 	for id := range RequestID(50) {
-		b.abandoned = append(b.abandoned, abandonedRequest{&b.classes[safeClass], &b.bulkheads[0], 7, 0, 2 * time.Second})
+		b.clientRetries.abandoned = append(b.clientRetries.abandoned, abandonedRequest{&b.classes[safeClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
 		b.Request(2*time.Second, Request{ID: id, Class: safeClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
 	}
 	if c := b.Counters(); c.ExpiredRetries != 50 || c.Shed != 0 || len(h.refused) != 50 {
 		t.Errorf("%d of 50 refused at once as late, %d throttled", c.ExpiredRetries, c.Shed)
 	}
-	if got := b.classes[safeClass].recent; got != before {
+	if got := b.admission.demand[safeClass]; got != before {
 		t.Errorf("admission counts %+v, want %+v as before", got, before)
 	}
 }
@@ -1319,7 +1322,7 @@
 	for id := range RequestID(3 * maxAbandoned) {
 		b.Request(0, Request{ID: id, Class: safeClass, Key: uint64(id) + 1, Timeout: time.Second})
 	}
-	if n := len(b.abandoned); n > maxAbandoned || n < maxAbandoned/2 {
+	if n := len(b.clientRetries.abandoned); n > maxAbandoned || n < maxAbandoned/2 {
 		t.Fatalf("%d remembered, want at most %d", n, maxAbandoned)
 	}
 }
@@ -1376,8 +1379,8 @@
 	forgetAsked(b)
 	ask(b, 3*time.Second, 3, unsafeClass)
 	end(b, 3100*ms, 3, 0, Succeeded)
-	if b.endpoint(1).slowStartUntil != 3100*ms+8*time.Second || len(h.log) == 0 {
-		t.Fatalf("cold until %v, log %q", b.endpoint(1).slowStartUntil, h.log)
+	if b.endpoints.find(1).slowStartUntil != 3100*ms+8*time.Second || len(h.log) == 0 {
+		t.Fatalf("cold until %v, log %v", b.endpoints.find(1).slowStartUntil, h.log)
 	}
 }
 
@@ -1393,7 +1396,7 @@
 			b.HealthChecked(now, h.probes[seen], false, LoadReport{})
 		}
 	}
-	if len(h.probes) > 2*pairsMost {
+	if len(h.probes) > 2*comparisonsNeeded {
 		t.Fatalf("%d probes, none of which was answered", len(h.probes))
 	}
 }
@@ -1409,11 +1412,11 @@
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[safeClass]
-		if b.eligible(100*ms, r, b.endpoints[0]) {
+		if b.eligible(100*ms, r, b.endpoints.all[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.eligible(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.endpoints[0]) {
+	if !b.eligible(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.endpoints.all[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
@@ -1424,19 +1427,19 @@
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight|HasUtilization
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
-	b.requestRate, b.requestRateAt = 4, 0
+	b.traffic = requestRate{4, 0}
 	b.selectSubset()
-	short := len(b.subset)
+	short := len(b.subset.endpoints)
 	for seen, now := 0, time.Duration(0); now < time.Second; now += 10 * ms {
 		b.TimerFired(now)
 		for ; seen < len(h.probes); seen++ {
 			b.HealthChecked(now, h.probes[seen], true, LoadReport{Fields: cfg.ReportFields, InFlight: 1, Utilization: now.Seconds()})
 		}
 	}
-	b.requestRate, b.requestRateAt = 4, time.Second
+	b.traffic = requestRate{4, time.Second}
 	ask(b, time.Second, 1, safeClass)
-	if len(b.subset) < 2*short {
-		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.subset), short)
+	if len(b.subset.endpoints) < 2*short {
+		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.subset.endpoints), short)
 	}
 }
 
@@ -1446,11 +1449,11 @@
 	for _, strained := range []bool{false, true} {
 		b, _ := start(t, testConfig(), ready(1))
 		if strained {
-			b.endpoint(1).relativeLatency = failStrain
+			b.endpoints.find(1).relativeLatency = failureLatency
 		}
 		ask(b, 0, 1, unsafeClass)
 		end(b, time.Second, 1, 0, TimedOut)
-		if crowd := b.congestion > 0; crowd == strained {
+		if crowd := b.congestion.meanSquare > 0; crowd == strained {
 			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
 		}
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -209,7 +209,7 @@
 func (w *world) Broadcast(n GossipMessage)        { w.note("tell %+v", n) }
 func (w *world) CloseIdle(to EndpointID)          { w.note("close %d", to); delete(w.closing, to) }
 func (w *world) WatchEndpoints()                  { w.note("watch"); w.watches++ }
-func (w *world) Log(line string)                  { w.note("log %s", line) }
+func (w *world) Log(e HealthEvent)                { w.note("log %s", e) }
 
 // drive runs a world; pick(n) chooses among n possibilities.
 func drive(t testing.TB, steps int, pick func(n int) int) []string {
@@ -404,7 +404,7 @@
 			}
 		}
 	}
-	for i, c := range w.b.bulkheads {
+	for i, c := range w.b.bulkheads.all {
 		if c.used != used[i] || c.used > c.slots || w.b.FreeSlots(i) < 0 {
 			w.t.Fatalf("compartment %d: %d of %d slots used, %d attempts out", i, c.used, c.slots, used[i])
 		}
@@ -412,7 +412,7 @@
 	if w.b.inFlight != out {
 		w.t.Fatalf("%d attempts counted, %d out", w.b.inFlight, out)
 	}
-	for _, s := range w.b.endpoints {
+	for _, s := range w.b.endpoints.all {
 		if s.inFlight < 0 {
 			w.t.Fatalf("server %d holds %d", s.ID, s.inFlight)
 		}
--- /dev/null
+++ b/policy/traffic.go
@@ -0,0 +1,48 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// requestRateHorizon is how far back a requestRate looks.
+const requestRateHorizon = 10 * time.Second
+
+// requestRate is an exponentially decaying mean of the requests per second.
+type requestRate struct {
+	perSecond float64 // at the time of the latest request
+	at        time.Duration
+}
+
+// observe takes a request.
+func (r *requestRate) observe(now time.Duration) {
+	r.perSecond = r.current(now) + 1/requestRateHorizon.Seconds()
+	r.at = now
+}
+
+// current returns the rate as it has decayed by now.
+func (r *requestRate) current(now time.Duration) float64 {
+	return r.perSecond * math.Exp(-float64(now-r.at)/float64(requestRateHorizon))
+}
+
+// meanObjective is the mean latency objective of all classes, in seconds. It
+// is the unit of several intervals, so that they fit any deployment.
+type meanObjective float64
+
+// times returns a multiple of the objective.
+func (o meanObjective) times(n float64) time.Duration {
+	return time.Duration(n * float64(o) * float64(time.Second))
+}
+
+// slidingWindow holds the times of recent events, in order.
+type slidingWindow []time.Duration
+
+// countSince drops the events before t and counts the others.
+func (w *slidingWindow) countSince(t time.Duration) int {
+	n := 0
+	for n < len(*w) && (*w)[n] < t {
+		n++
+	}
+	*w = (*w)[n:]
+	return len(*w)
+}
