--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -223,10 +223,10 @@
 	if now < b.timerAt {
 		return // an older timer
 	}
-	if b.cfg.PollsEndpoints && b.watch.due(now) {
+	if b.cfg.PollsEndpoints && b.watch.shouldPoll(now) {
 		b.poll(now)
 	}
-	b.closeIdleAgain(now)
+	b.repeatCloseIdle(now)
 	b.serveQueues(now)
 	for _, r := range b.open {
 		b.expireReport(now, r)
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -102,7 +102,7 @@
 		return max(1, slots*fraction)
 	}
 	fleetSlots := float64(b.bulkheads.slots * b.cfg.Balancers)
-	return max(1, min(slots, fleetSlots*fraction*b.gossip.demandShare(now, b.traffic.current(now), b.quota)))
+	return max(1, min(slots, fleetSlots*fraction*b.gossip.demandFraction(now, b.traffic.current(now), b.quota)))
 }
 
 // endpointLimit returns how many attempts this balancer may have in flight at
--- a/policy/config.go
+++ b/policy/config.go
@@ -194,6 +194,6 @@
 	return c.Tenants
 }
 
-// evenShare returns the part of a fleet-wide figure that falls to each
+// evenPart returns the part of a fleet-wide figure that falls to each
 // balancer if all get the same.
-func (c *Config) evenShare(total float64) float64 { return total / float64(c.Balancers) }
+func (c *Config) evenPart(total float64) float64 { return total / float64(c.Balancers) }
--- a/policy/draining.go
+++ b/policy/draining.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// closeIdleAgain closes the idle connections to all draining endpoints once
+// repeatCloseIdle closes the idle connections to all draining endpoints once
 // more, when that is due.
-func (b *Balancer) closeIdleAgain(now time.Duration) {
+func (b *Balancer) repeatCloseIdle(now time.Duration) {
 	if b.idleCloser.repeatAt == 0 || now < b.idleCloser.repeatAt {
 		return
 	}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -114,7 +114,7 @@
 	}
 	recent := m.SentAt <= now+maxClockSkew && now-m.SentAt <= g.objective.times(maxMessageAge)
 	inOrder := m.SentAt > g.peers[from].sentAt
-	within := func(f, most float64) bool { return f >= 0 && f <= most } // false for NaN
+	within := func(f, limit float64) bool { return f >= 0 && f <= limit } // false for NaN
 	return recent && inOrder && within(m.RequestRate, math.MaxUint32) &&
 		within(m.Responses, math.MaxUint16) && within(m.Congestion, maxCongestion)
 }
@@ -129,10 +129,10 @@
 	return g.fleetCongestion / g.fleetResponses
 }
 
-// demandShare returns this balancer's share of the fleet's requests. A peer
+// demandFraction returns this balancer's share of the fleet's requests. A peer
 // that nothing recent is known of counts with an even share of the quota;
 // without any message the share is even.
-func (g *gossip) demandShare(now time.Duration, ownRate, fleetQuota float64) float64 {
+func (g *gossip) demandFraction(now time.Duration, ownRate, fleetQuota float64) float64 {
 	even := fleetQuota / float64(len(g.peers))
 	if !g.received || even == 0 {
 		return 1 / float64(len(g.peers))
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -14,27 +14,27 @@
 )
 
 // picker is the virtual time of smooth weighted round robin: an endpoint is
-// due again one turn gap after its last turn, and the one due first is next.
+// due again one stride after its last turn, and the one due first is next.
 type picker struct {
 	virtualTime float64 // when the latest turn was due
 }
 
 // taken moves on to the turn that an endpoint has had.
-func (p *picker) taken(e *endpoint, gap float64) {
+func (p *picker) taken(e *endpoint, stride float64) {
 	p.virtualTime = max(p.virtualTime, e.nextTurn)
-	e.nextTurn = p.virtualTime + gap
+	e.nextTurn = p.virtualTime + stride
 }
 
-// turnGap is the virtual time between an endpoint's turns. Other zones'
+// stride is the virtual time between an endpoint's turns. Other zones'
 // endpoints have turns too, if fewer: a zone may have more traffic than its
 // own endpoints can bear.
-func (b *Balancer) turnGap(now time.Duration, e *endpoint) float64 {
+func (b *Balancer) stride(now time.Duration, e *endpoint) float64 {
 	latency := max(minRelativeLatency, min(e.relativeLatency, outlierLatency))
-	gap := math.Pow(latency, latencyExponent) / (e.Weight * b.capacityFraction(now, e))
+	stride := math.Pow(latency, latencyExponent) / (e.Weight * b.capacityFraction(now, e))
 	if b.crossesZone(e) {
-		gap /= crossZoneTurns
+		stride /= crossZoneTurns
 	}
-	return gap
+	return stride
 }
 
 // crossesZone says that an endpoint is in another zone, where crossing has a
@@ -46,21 +46,21 @@
 // pick returns the endpoint that a request is sent to now, or nil. A request
 // that is bound to where it has been before may leave the subset for that.
 func (b *Balancer) pick(now time.Duration, r *request) *endpoint {
-	next, diverted := b.nextInTurn(now, r, b.subset.endpoints)
-	if next == nil && r.firstEffective() != nil {
-		next, diverted = b.nextInTurn(now, r, b.endpoints.all)
+	chosen, diverted := b.nextInTurn(now, r, b.subset.endpoints)
+	if chosen == nil && r.firstEffective() != nil {
+		chosen, diverted = b.nextInTurn(now, r, b.endpoints.all)
 	}
-	if next == nil {
+	if chosen == nil {
 		return nil
 	}
-	b.picker.taken(next, b.turnGap(now, next))
+	b.picker.taken(chosen, b.stride(now, chosen))
 	switch {
 	case diverted:
 		b.count.DivertedSends++
 	case len(r.attempts) == 0:
 		b.count.RoundRobinSends++
 	}
-	return next
+	return chosen
 }
 
 // nextInTurn returns the endpoint whose turn it is among those that the rules
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -64,5 +64,5 @@
 // balancers must not begin in step.
 func (b *Balancer) joinSubset(e *endpoint) {
 	e.inSubset = true
-	e.nextTurn = b.picker.virtualTime + b.rng.Float64()*b.turnGap(b.traffic.at, e)
+	e.nextTurn = b.picker.virtualTime + b.rng.Float64()*b.stride(b.traffic.at, e)
 }
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -47,8 +47,8 @@
 // succeeded takes that an update has come: nothing has to be polled.
 func (w *endpointWatch) succeeded() { w.pollAt, w.failures = 0, 0 }
 
-// due says that it is time to poll.
-func (w *endpointWatch) due(now time.Duration) bool { return w.pollAt > 0 && now >= w.pollAt }
+// shouldPoll says that it is time to poll.
+func (w *endpointWatch) shouldPoll(now time.Duration) bool { return w.pollAt > 0 && now >= w.pollAt }
 
 // UpdateEndpoints takes an update of the endpoint list, or that a call for it
 // failed.
