--- a/internal/fleetsim/clock.go
+++ b/internal/fleetsim/clock.go
@@ -6,12 +6,12 @@
 type event struct {
 	at  time.Duration
 	seq uint64 // events of one time happen in the order in which they were scheduled
-	do  func()
+	run func()
 
 	// Datagrams are one event for all of one sender that arrive at one time: there are more than of all else.
-	to   []*sidecar
-	from int
-	raw  []byte
+	recipients []*simSidecar
+	sender     int
+	datagram   []byte
 }
 
 // before says whether an event comes ahead of another.
@@ -25,7 +25,7 @@
 }
 
 // after schedules a call in d from now.
-func (c *clock) after(d time.Duration, do func()) { c.push(event{at: c.now + d, do: do}) }
+func (c *clock) after(d time.Duration, do func()) { c.push(event{at: c.now + d, run: do}) }
 
 func (c *clock) push(e event) {
 	c.seq++
--- a/internal/fleetsim/counts.go
+++ b/internal/fleetsim/counts.go
@@ -13,83 +13,83 @@
 	listHead        = 120 // head of its answer
 )
 
-// Flow counts messages and their bytes, headers included.
-type Flow struct{ Messages, Bytes int64 }
+// Traffic counts messages and their bytes, headers included.
+type Traffic struct{ Messages, Bytes int64 }
 
-func (f *Flow) add(bytes int) { f.Messages++; f.Bytes += int64(bytes) }
+func (f *Traffic) add(bytes int) { f.Messages++; f.Bytes += int64(bytes) }
 
-func (f *Flow) plus(o Flow) { f.Messages += o.Messages; f.Bytes += o.Bytes }
+func (f *Traffic) plus(o Traffic) { f.Messages += o.Messages; f.Bytes += o.Bytes }
 
-// Role counts what comes to and goes out from all of one kind.
-type Role struct{ In, Out Flow }
+// TrafficCounts counts what comes to and goes out from all of one kind.
+type TrafficCounts struct{ Received, Sent Traffic }
 
-func (r *Role) plus(o Role) { r.In.plus(o.In); r.Out.plus(o.Out) }
+func (r *TrafficCounts) plus(o TrafficCounts) { r.Received.plus(o.Received); r.Sent.plus(o.Sent) }
 
 // Counts are what was counted, by role. What a sidecar sends and gets is the sum of Gossip, Lists and Requests.
 type Counts struct {
-	Gossip   Role // datagrams between sidecars, as these see them: one out goes to all
-	Lost     int64
-	Lists    Role  // calls and answers of discovery, as sidecars see them
-	Lines    int64 // of lists that sidecars read
-	Requests Role  // attempts and their answers, as sidecars see them
-	Server   Role  // the same, as servers see them
+	Gossip         TrafficCounts // datagrams between sidecars, as these see them: one out goes to all
+	DatagramsLost  int64
+	EndpointLists  TrafficCounts // calls and answers of discovery, as sidecars see them
+	EntriesRead    int64         // of lists that sidecars read
+	Attempts       TrafficCounts // attempts and their answers, as sidecars see them
+	ServerAttempts TrafficCounts // the same, as servers see them
 
 	Discovery DiscoveryCounts
 
-	Asked, InTime, Late, Refused, Failed int64 // requests of clients, over all classes
+	Requests, WithinObjective, ObjectiveMissed, Rejected, Failed int64 // requests of clients, over all classes
 
 	// Processor time, where it is measured. It is no part of what is exact.
-	RequestTime time.Duration // in Request and Outcome
-	ControlTime time.Duration // in Heard, Wake and List, and the reading of datagrams and lists
-	Taken       int64         // requests handed to Balancers, clients' further tries included
+	RequestCPU       time.Duration // in Request and Outcome
+	ControlCPU       time.Duration // in Heard, Wake and List, and the reading of datagrams and lists
+	BalancerRequests int64         // requests handed to Balancers, clients' further tries included
 
-	// The same for the first Config.Busy sidecars alone.
-	BusyRequestTime, BusyControlTime time.Duration
-	BusyTaken                        int64
+	// The same for the first Config.HighRateSidecars sidecars alone.
+	HighRateRequestCPU, HighRateControlCPU time.Duration
+	HighRateBalancerRequests               int64
 }
 
 // DiscoveryCounts are what discovery did.
 type DiscoveryCounts struct {
-	Role
-	Turns   int64         // calls and watches that it worked on
-	Lines   int64         // that it wrote
-	Worked  time.Duration // on these
-	Longest time.Duration // that one waited for its turn
-	Failed  int64         // calls that waited too long
-	Changes int64
+	TrafficCounts
+	Processed      int64         // calls and watches that it worked on
+	EntriesWritten int64         // that it wrote
+	ProcessingTime time.Duration // on these
+	MaxQueueWait   time.Duration // that one waited for its turn
+	TimedOut       int64         // calls that waited too long
+	Changes        int64
 }
 
-// Plus adds other counts.
-func (c *Counts) Plus(o *Counts) {
+// Add adds other counts.
+func (c *Counts) Add(o *Counts) {
 	c.Gossip.plus(o.Gossip)
-	c.Lists.plus(o.Lists)
-	c.Requests.plus(o.Requests)
-	c.Server.plus(o.Server)
-	c.Lost += o.Lost
-	c.Lines += o.Lines
-	c.Discovery.Role.plus(o.Discovery.Role)
-	c.Discovery.Turns += o.Discovery.Turns
-	c.Discovery.Lines += o.Discovery.Lines
-	c.Discovery.Worked += o.Discovery.Worked
-	c.Discovery.Longest = max(c.Discovery.Longest, o.Discovery.Longest)
-	c.Discovery.Failed += o.Discovery.Failed
+	c.EndpointLists.plus(o.EndpointLists)
+	c.Attempts.plus(o.Attempts)
+	c.ServerAttempts.plus(o.ServerAttempts)
+	c.DatagramsLost += o.DatagramsLost
+	c.EntriesRead += o.EntriesRead
+	c.Discovery.TrafficCounts.plus(o.Discovery.TrafficCounts)
+	c.Discovery.Processed += o.Discovery.Processed
+	c.Discovery.EntriesWritten += o.Discovery.EntriesWritten
+	c.Discovery.ProcessingTime += o.Discovery.ProcessingTime
+	c.Discovery.MaxQueueWait = max(c.Discovery.MaxQueueWait, o.Discovery.MaxQueueWait)
+	c.Discovery.TimedOut += o.Discovery.TimedOut
 	c.Discovery.Changes += o.Discovery.Changes
-	c.Asked += o.Asked
-	c.InTime += o.InTime
-	c.Late += o.Late
-	c.Refused += o.Refused
+	c.Requests += o.Requests
+	c.WithinObjective += o.WithinObjective
+	c.ObjectiveMissed += o.ObjectiveMissed
+	c.Rejected += o.Rejected
 	c.Failed += o.Failed
-	c.RequestTime += o.RequestTime
-	c.ControlTime += o.ControlTime
-	c.Taken += o.Taken
-	c.BusyRequestTime += o.BusyRequestTime
-	c.BusyControlTime += o.BusyControlTime
-	c.BusyTaken += o.BusyTaken
+	c.RequestCPU += o.RequestCPU
+	c.ControlCPU += o.ControlCPU
+	c.BalancerRequests += o.BalancerRequests
+	c.HighRateRequestCPU += o.HighRateRequestCPU
+	c.HighRateControlCPU += o.HighRateControlCPU
+	c.HighRateBalancerRequests += o.HighRateBalancerRequests
 }
 
-// Exact is the counts without what is measured on a real clock: the same for the same seed.
-func (c Counts) Exact() Counts {
-	c.RequestTime, c.ControlTime, c.BusyRequestTime, c.BusyControlTime = 0, 0, 0, 0
+// WithoutCPUTime is the counts without what is measured on a real clock: the same for the same seed.
+func (c Counts) WithoutCPUTime() Counts {
+	c.RequestCPU, c.ControlCPU, c.HighRateRequestCPU, c.HighRateControlCPU = 0, 0, 0, 0
 	return c
 }
 
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -9,22 +9,22 @@
 	"cranehatch/policy"
 )
 
-// Discovery sets what the model discovery can bear. It works on calls in turn.
-type Discovery struct {
-	Call     time.Duration // that a call takes it,
-	Line     time.Duration // and each line of its answer
-	Patience time.Duration // a call that waited longer for its turn fails
-	Late     time.Duration // a change is in its list so long after it was told
-	Detect   time.Duration // and a machine that was lost this long after that
+// DiscoveryConfig sets what the model discovery can bear. It works on calls in turn.
+type DiscoveryConfig struct {
+	CallTime             time.Duration // that a call takes it,
+	EntryTime            time.Duration // and each line of its answer
+	QueueTimeout         time.Duration // a call that waited longer for its turn fails
+	PropagationDelay     time.Duration // a change is in its list so long after it was told
+	FailureDetectionTime time.Duration // and a machine that was lost this long after that
 }
 
 // errUnavailable is what a call that fails is answered with, instead of a list.
 const errUnavailable = "unavailable"
 
-// discovery holds the list of one service: all servers, and the order of their changes. It is in zone 0.
-type discovery struct {
-	f       *Service
-	cfg     Discovery
+// simDiscovery holds the list of one service: all servers, and the order of their changes. It is in zone 0.
+type simDiscovery struct {
+	sim     *Simulation
+	cfg     DiscoveryConfig
 	down    bool
 	lines   []string // of the servers' entries
 	ready   []policy.EndpointState
@@ -51,8 +51,8 @@
 	answer func(a answer, err string)
 }
 
-func newDiscovery(f *Service, cfg Discovery) *discovery {
-	d := &discovery{f: f, cfg: cfg, answers: make(map[int64]answer)}
+func newDiscovery(f *Simulation, cfg DiscoveryConfig) *simDiscovery {
+	d := &simDiscovery{sim: f, cfg: cfg, answers: make(map[int64]answer)}
 	for i, m := range f.servers {
 		d.lines = append(d.lines, "")
 		d.ready = append(d.ready, policy.Ready)
@@ -63,40 +63,40 @@
 }
 
 // write renews a server's line.
-func (d *discovery) write(m *server, i int) {
+func (d *simDiscovery) write(m *simServer, i int) {
 	lifecycle := map[policy.EndpointState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}[d.ready[i]]
 	d.lines[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":%.3f}`,
-		m.name, m.zone, i/250, 1+i%250, zoneName(m.zone), i%4, lifecycle, float64(m.started.Microseconds())/1000)
+		m.name, m.zone, i/250, 1+i%250, zoneName(m.zone), i%4, lifecycle, float64(m.startedAt.Microseconds())/1000)
 }
 
 func zoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
 // version is the list's as it is.
-func (d *discovery) version() int64 { return int64(len(d.log)) }
+func (d *simDiscovery) version() int64 { return int64(len(d.log)) }
 
 // change enters that a server's state has changed, and opens the watches.
-func (d *discovery) change(i int, state policy.EndpointState) {
-	m := d.f.servers[i]
+func (d *simDiscovery) change(i int, state policy.EndpointState) {
+	m := d.sim.servers[i]
 	d.ready[i] = state
 	d.log = append(d.log, i)
 	d.write(m, i)
 	clear(d.answers)
-	d.f.count.Discovery.Changes++
+	d.sim.count.Discovery.Changes++
 	if state == policy.Ready {
-		m.leaving = 0
-	} else if m.leaving == 0 {
-		m.leaving = d.f.clock.now
+		m.drainingSince = 0
+	} else if m.drainingSince == 0 {
+		m.drainingSince = d.sim.clock.now
 	}
-	d.f.pending = append(d.f.pending, pending{d.version(), d.f.clock.now})
+	d.sim.pending = append(d.sim.pending, pending{d.version(), d.sim.clock.now})
 	for _, c := range d.watches {
 		d.queue(c)
 	}
 	d.watches = d.watches[:0]
 }
 
-// say is the answer to those who hold a version.
-func (d *discovery) say(index int64) answer {
+// response is the answer to those who hold a version.
+func (d *simDiscovery) response(index int64) answer {
 	if a, ok := d.answers[index]; ok {
 		return a
 	}
@@ -126,8 +126,8 @@
 }
 
 // take takes a call that has arrived.
-func (d *discovery) take(c *call) {
-	d.f.count.Discovery.In.add(onWire(callBytes))
+func (d *simDiscovery) take(c *call) {
+	d.sim.count.Discovery.Received.add(onWire(callBytes))
 	if d.down {
 		d.fail(c)
 		return
@@ -135,44 +135,44 @@
 	d.queue(c)
 }
 
-func (d *discovery) queue(c *call) {
-	c.since = d.f.clock.now
+func (d *simDiscovery) queue(c *call) {
+	c.since = d.sim.clock.now
 	d.turns = append(d.turns, c)
 	d.work()
 }
 
 // work gives the next call its turn, if none has it.
-func (d *discovery) work() {
+func (d *simDiscovery) work() {
 	for !d.working && len(d.turns) > 0 {
 		c := d.turns[0]
 		d.turns = d.turns[1:]
-		waited := d.f.clock.now - c.since
+		waited := d.sim.clock.now - c.since
 		switch {
 		case c.ended:
 			continue
-		case waited > d.cfg.Patience:
-			d.f.count.Discovery.Failed++
+		case waited > d.cfg.QueueTimeout:
+			d.sim.count.Discovery.TimedOut++
 			d.fail(c)
 			continue
 		}
-		n := &d.f.count.Discovery
-		n.Turns++
-		n.Longest = max(n.Longest, waited)
+		n := &d.sim.count.Discovery
+		n.Processed++
+		n.MaxQueueWait = max(n.MaxQueueWait, waited)
 		if c.index == d.version() && c.wait > 0 { // nothing to tell it yet
-			d.busy(c, d.cfg.Call, func() { d.hold(c) })
+			d.busy(c, d.cfg.CallTime, func() { d.hold(c) })
 			return
 		}
-		a := d.say(c.index)
-		n.Lines += int64(a.lines)
-		d.busy(c, d.cfg.Call+time.Duration(a.lines)*d.cfg.Line, func() { d.reply(c, a) })
+		a := d.response(c.index)
+		n.EntriesWritten += int64(a.lines)
+		d.busy(c, d.cfg.CallTime+time.Duration(a.lines)*d.cfg.EntryTime, func() { d.reply(c, a) })
 	}
 }
 
 // busy works on a call for a time, and then goes on with the next.
-func (d *discovery) busy(c *call, took time.Duration, done func()) {
+func (d *simDiscovery) busy(c *call, took time.Duration, done func()) {
 	d.working = true
-	d.f.count.Discovery.Worked += took
-	d.f.clock.after(took, func() {
+	d.sim.count.Discovery.ProcessingTime += took
+	d.sim.clock.after(took, func() {
 		d.working = false
 		if d.down {
 			d.fail(c)
@@ -184,39 +184,39 @@
 }
 
 // hold keeps a watch open until the list changes or its time is over.
-func (d *discovery) hold(c *call) {
+func (d *simDiscovery) hold(c *call) {
 	if c.index < d.version() { // it changed while the call had its turn
 		d.queue(c)
 		return
 	}
 	d.watches = append(d.watches, c)
-	d.f.clock.after(c.wait, func() {
+	d.sim.clock.after(c.wait, func() {
 		if i := slices.Index(d.watches, c); i >= 0 {
 			d.watches = slices.Delete(d.watches, i, i+1)
-			d.reply(c, d.say(c.index))
+			d.reply(c, d.response(c.index))
 		}
 	})
 }
 
-func (d *discovery) reply(c *call, a answer) {
+func (d *simDiscovery) reply(c *call, a answer) {
 	if c.ended {
 		return
 	}
-	d.f.count.Discovery.Out.add(onWire(listHead + len(a.body)))
-	d.f.network.stream(0, c.zone, func() { c.answer(a, "") })
+	d.sim.count.Discovery.Sent.add(onWire(listHead + len(a.body)))
+	d.sim.network.sendReliable(0, c.zone, func() { c.answer(a, "") })
 }
 
 // fail answers a call with no list.
-func (d *discovery) fail(c *call) {
+func (d *simDiscovery) fail(c *call) {
 	if c.ended {
 		return
 	}
-	d.f.count.Discovery.Out.add(onWire(listHead))
-	d.f.network.stream(0, c.zone, func() { c.answer(answer{}, errUnavailable) })
+	d.sim.count.Discovery.Sent.add(onWire(listHead))
+	d.sim.network.sendReliable(0, c.zone, func() { c.answer(answer{}, errUnavailable) })
 }
 
 // stop has it fail whoever calls, and whoever waits.
-func (d *discovery) stop() {
+func (d *simDiscovery) stop() {
 	d.down = true
 	for _, c := range slices.Concat(d.turns, d.watches) {
 		d.fail(c)
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Network sets what the model network does. The zero value carries everything at once and loses nothing.
-type Network struct {
-	Zone   time.Duration // one way within a zone
-	Cross  time.Duration // one way to another zone of the region
-	Region time.Duration // one way to another region
+// NetworkConfig sets what the model network does. The zero value carries everything at once and loses nothing.
+type NetworkConfig struct {
+	SameZoneDelay    time.Duration // one way within a zone
+	CrossZoneDelay   time.Duration // one way to another zone of the region
+	CrossRegionDelay time.Duration // one way to another region
 
-	DatagramLeast  time.Duration // a datagram takes at least this more,
-	DatagramSpread time.Duration // and up to this more again, evenly spread in 20 steps
-	DatagramLoss   float64       // share of datagrams that never arrive
+	DatagramMinDelay time.Duration // a datagram takes at least this more,
+	DatagramJitter   time.Duration // and up to this more again, evenly spread in 20 steps
+	DatagramLoss     float64       // share of datagrams that never arrive
 }
 
 const (
@@ -25,17 +25,17 @@
 	datagramSteps = 20
 )
 
-// network carries messages between zones, each with its delay, or not at all where it is cut.
-type network struct {
-	Network
+// simNetwork carries messages between zones, each with its delay, or not at all where it is cut.
+type simNetwork struct {
+	NetworkConfig
 	clock   *clock
 	rng     *rand.Rand
 	regions []int    // of each zone
 	cut     [][]bool // by zone, both ways
 }
 
-func newNetwork(cfg Network, c *clock, rng *rand.Rand, zones, regions int) *network {
-	n := &network{Network: cfg, clock: c, rng: rng}
+func newNetwork(cfg NetworkConfig, c *clock, rng *rand.Rand, zones, regions int) *simNetwork {
+	n := &simNetwork{NetworkConfig: cfg, clock: c, rng: rng}
 	for z := range zones {
 		n.regions = append(n.regions, z*regions/zones)
 		n.cut = append(n.cut, make([]bool, zones))
@@ -44,19 +44,19 @@
 }
 
 // delay is what one way between two zones takes.
-func (n *network) delay(from, to int) time.Duration {
+func (n *simNetwork) delay(from, to int) time.Duration {
 	switch {
 	case from == to:
-		return n.Zone
+		return n.SameZoneDelay
 	case n.regions[from] == n.regions[to]:
-		return n.Cross
+		return n.CrossZoneDelay
 	}
-	return n.Region
+	return n.CrossRegionDelay
 }
 
-// request carries part of a request or an answer to it. What a cut swallows is lost: attempts are given up
+// sendOnce carries part of a request or an answer to it. What a cut swallows is lost: attempts are given up
 // long before it would be sent again.
-func (n *network) request(from, to int, do func()) {
+func (n *simNetwork) sendOnce(from, to int, do func()) {
 	switch d := n.delay(from, to); {
 	case n.cut[from][to]:
 	case d == 0:
@@ -66,10 +66,10 @@
 	}
 }
 
-// stream carries something over a connection that outlasts a cut: it is sent again until it arrives.
-func (n *network) stream(from, to int, do func()) { n.resend(from, to, firstResend, do) }
+// sendReliable carries something over a connection that outlasts a cut: it is sent again until it arrives.
+func (n *simNetwork) sendReliable(from, to int, do func()) { n.resend(from, to, firstResend, do) }
 
-func (n *network) resend(from, to int, pause time.Duration, do func()) {
+func (n *simNetwork) resend(from, to int, pause time.Duration, do func()) {
 	if n.cut[from][to] {
 		n.clock.after(pause, func() { n.resend(from, to, min(2*pause, lastResend), do) })
 		return
@@ -77,24 +77,24 @@
 	n.clock.after(n.delay(from, to), do)
 }
 
-// datagram tells whether a datagram arrives, and in which step of its spread.
-func (n *network) datagram(from, to int) (step int, arrives bool) {
+// datagramArrives tells whether a datagram arrives, and in which step of its spread.
+func (n *simNetwork) datagramArrives(from, to int) (step int, arrives bool) {
 	if n.cut[from][to] || n.rng.Float64() >= 1-n.DatagramLoss {
 		return 0, false
 	}
-	if n.DatagramSpread > 0 {
+	if n.DatagramJitter > 0 {
 		step = n.rng.IntN(datagramSteps)
 	}
 	return step, true
 }
 
 // spread is how long a datagram takes of that step.
-func (n *network) spread(from, to, step int) time.Duration {
-	return n.delay(from, to) + n.DatagramLeast + n.DatagramSpread*time.Duration(step)/datagramSteps
+func (n *simNetwork) spread(from, to, step int) time.Duration {
+	return n.delay(from, to) + n.DatagramMinDelay + n.DatagramJitter*time.Duration(step)/datagramSteps
 }
 
-// part cuts or heals what connects different sides, named by a number for each zone.
-func (n *network) part(side func(zone int) int, cut bool) {
+// setPartition cuts or heals what connects different sides, named by a number for each zone.
+func (n *simNetwork) setPartition(side func(zone int) int, cut bool) {
 	for from := range n.cut {
 		for to := range n.cut {
 			if side(from) != side(to) {
--- a/internal/fleetsim/service.go
+++ b/internal/fleetsim/service.go
@@ -19,53 +19,53 @@
 
 // Config says what to play.
 type Config struct {
-	Seed     uint64
-	Sidecars int
-	Servers  int
-	Zones    int // sidecars and servers take turns among them; discovery is in the first
-	Offset   int // the zone that the first sidecar and server are in
-	Regions  int // zones are dealt out to them in order
+	Seed      uint64
+	Sidecars  int
+	Servers   int
+	Zones     int // sidecars and servers take turns among them; discovery is in the first
+	FirstZone int // the zone that the first sidecar and server are in
+	Regions   int // zones are dealt out to them in order
 
-	Rate float64   // requests a second that clients ask of all sidecars together, of very different parts each
-	Mix  []float64 // share of each class in them
+	RequestRate float64   // requests a second that clients ask of all sidecars together, of very different parts each
+	ClassMix    []float64 // share of each class in them
 
-	Busy     int     // the first so many sidecars are asked at another rate,
-	BusyRate float64 // so many requests a second each, and their processor time is told apart
+	HighRateSidecars int     // the first so many sidecars are asked at another rate,
+	HighRate         float64 // so many requests a second each, and their processor time is told apart
 
 	Policy    policy.Config // Balancers, Index and Zone are set for each sidecar
-	Server    Server
-	Network   Network
-	Discovery *Discovery // nil: the list is given at the start and never changes
+	Server    ServerConfig
+	Network   NetworkConfig
+	Discovery *DiscoveryConfig // nil: the list is given at the start and never changes
 
 	// ID names the servers of a list that never changes, where their order is to be another than chance: the
 	// sidecars begin their rounds evenly spread over it. nil: by their instanceIds, as everywhere else.
-	ID func(server int) policy.EndpointID
+	EndpointID func(server int) policy.EndpointID
 
-	Measure bool // take the processor time of Balancers, by the real clock
+	MeasureCPU bool // take the processor time of Balancers, by the real clock
 }
 
 // ClassCounts are what came of the requests of one class.
-type ClassCounts struct{ Asked, InTime, Late, Refused, Failed int }
+type ClassCounts struct{ Requests, WithinObjective, ObjectiveMissed, Rejected, Failed int }
 
-// Service is one service at play.
-type Service struct {
-	cfg       Config
+// Simulation is one service at play.
+type Simulation struct {
+	config    Config
 	clock     *clock
 	rng       *rand.Rand
-	network   *network
-	discovery *discovery
-	servers   []*server
-	byID      map[policy.EndpointID]*server
-	sidecars  []*sidecar
+	network   *simNetwork
+	discovery *simDiscovery
+	servers   []*simServer
+	byID      map[policy.EndpointID]*simServer
+	sidecars  []*simSidecar
 	zones     map[string]int
 	requests  policy.RequestID
 
-	classes []ClassCounts
-	count   Counts
-	broken  Broken
-	digest  uint64
-	held    float64 // requests that servers held, summed over looks
-	looks   int
+	classes     []ClassCounts
+	count       Counts
+	violations  Violations
+	digest      uint64
+	inFlightSum float64 // requests that servers held, summed over looks
+	looks       int
 
 	reach   []time.Duration // by zone: since when discovery can be reached from it
 	pending []pending
@@ -85,40 +85,40 @@
 )
 
 // New starts a service.
-func New(cfg Config) (*Service, error) {
+func New(cfg Config) (*Simulation, error) {
 	switch {
-	case cfg.Sidecars < 1 || cfg.Servers < 1 || cfg.Zones < 1 || cfg.Offset < 0 || cfg.Regions < 1 || cfg.Regions > cfg.Zones:
+	case cfg.Sidecars < 1 || cfg.Servers < 1 || cfg.Zones < 1 || cfg.FirstZone < 0 || cfg.Regions < 1 || cfg.Regions > cfg.Zones:
 		return nil, fmt.Errorf("fleet: %d sidecars, %d servers, %d zones and %d regions can't be played",
 			cfg.Sidecars, cfg.Servers, cfg.Zones, cfg.Regions)
-	case cfg.Server.Cores < 1 || cfg.Server.Work <= 0:
+	case cfg.Server.Cores < 1 || cfg.Server.ServiceTime <= 0:
 		return nil, fmt.Errorf("fleet: servers of %d cores that work %v on a request serve nothing",
-			cfg.Server.Cores, cfg.Server.Work)
-	case cfg.ID != nil && cfg.Discovery != nil:
+			cfg.Server.Cores, cfg.Server.ServiceTime)
+	case cfg.EndpointID != nil && cfg.Discovery != nil:
 		return nil, errors.New("fleet: servers of a list that changes are named by it")
-	case len(cfg.Mix) != len(cfg.Policy.Classes):
-		return nil, fmt.Errorf("fleet: a mix of %d classes, and there are %d", len(cfg.Mix), len(cfg.Policy.Classes))
+	case len(cfg.ClassMix) != len(cfg.Policy.Classes):
+		return nil, fmt.Errorf("fleet: a mix of %d classes, and there are %d", len(cfg.ClassMix), len(cfg.Policy.Classes))
 	}
-	f := &Service{cfg: cfg, clock: &clock{now: time.Second}, rng: rand.New(rand.NewPCG(cfg.Seed, 2)),
-		byID: make(map[policy.EndpointID]*server), zones: make(map[string]int),
+	f := &Simulation{config: cfg, clock: &clock{now: time.Second}, rng: rand.New(rand.NewPCG(cfg.Seed, 2)),
+		byID: make(map[policy.EndpointID]*simServer), zones: make(map[string]int),
 		classes: make([]ClassCounts, len(cfg.Policy.Classes)), reach: make([]time.Duration, cfg.Zones)}
 	f.network = newNetwork(cfg.Network, f.clock, f.rng, cfg.Zones, cfg.Regions)
 	for z := range cfg.Zones {
 		f.zones[zoneName(z)] = z
 	}
 	for i := range cfg.Servers {
-		m := &server{f: f, name: fmt.Sprintf("s-%05d", i), zone: (cfg.Offset + i) % cfg.Zones}
+		m := &simServer{sim: f, name: fmt.Sprintf("s-%05d", i), zone: (cfg.FirstZone + i) % cfg.Zones}
 		m.id = endpointlist.ServerID(m.name)
-		if cfg.ID != nil {
-			m.id = cfg.ID(i)
+		if cfg.EndpointID != nil {
+			m.id = cfg.EndpointID(i)
 		}
 		f.servers = append(f.servers, m)
 		f.byID[m.id] = m
 	}
-	d := newDiscovery(f, Discovery{})
+	d := newDiscovery(f, DiscoveryConfig{})
 	if cfg.Discovery != nil {
 		d.cfg, f.discovery = *cfg.Discovery, d
 	}
-	list, err := endpointlist.Parse(d.say(-1).body, f.zones)
+	list, err := endpointlist.Parse(d.response(-1).body, f.zones)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: the first list: %w", err)
 	}
@@ -127,17 +127,17 @@
 	}
 	sum := 0.0
 	for i := range cfg.Sidecars {
-		s := &sidecar{f: f, index: i, zone: (cfg.Offset + i) % cfg.Zones, rate: f.demand(), busy: i < cfg.Busy}
+		s := &simSidecar{sim: f, index: i, zone: (cfg.FirstZone + i) % cfg.Zones, requestRate: f.demand(), busy: i < cfg.HighRateSidecars}
 		if s.busy {
-			s.rate = 0
+			s.requestRate = 0
 		}
-		sum += s.rate
+		sum += s.requestRate
 		f.sidecars = append(f.sidecars, s)
 	}
 	for _, s := range f.sidecars {
-		s.rate *= cfg.Rate / max(sum, 1e-9)
+		s.requestRate *= cfg.RequestRate / max(sum, 1e-9)
 		if s.busy {
-			s.rate = cfg.BusyRate
+			s.requestRate = cfg.HighRate
 		}
 		if err := s.start(&list); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
@@ -147,21 +147,21 @@
 }
 
 // Run plays on for d.
-func (f *Service) Run(d time.Duration) {
+func (f *Simulation) Run(d time.Duration) {
 	end, look := f.clock.now+d, f.clock.now
 	looked := f.clock.now
 	for len(f.clock.heap) > 0 && f.clock.heap[0].at <= end {
 		e := f.clock.pop()
 		for ; look <= e.at; look += lookEvery {
-			f.look()
+			f.sampleInFlight()
 		}
 		f.clock.now = e.at
-		if e.to != nil {
-			for _, s := range e.to {
-				s.hear(e.from, e.raw)
+		if e.recipients != nil {
+			for _, s := range e.recipients {
+				s.receiveGossip(e.sender, e.datagram)
 			}
 		} else {
-			e.do()
+			e.run()
 		}
 		if e.at-looked >= knownEvery {
 			looked = e.at
@@ -172,55 +172,55 @@
 	f.allKnow()
 }
 
-// look counts what servers hold.
-func (f *Service) look() {
+// sampleInFlight counts what servers hold.
+func (f *Simulation) sampleInFlight() {
 	held := 0
 	for _, m := range f.servers {
 		held += len(m.queue)
 	}
 	f.looks++
-	f.held += float64(held) / float64(len(f.servers))
+	f.inFlightSum += float64(held) / float64(len(f.servers))
 }
 
-// Recount has everything counted anew from now on, but for broken rules and what all know.
-func (f *Service) Recount() {
+// ResetCounts has everything counted anew from now on, but for broken rules and what all know.
+func (f *Simulation) ResetCounts() {
 	clear(f.classes)
-	f.count, f.held, f.looks = Counts{}, 0, 0
+	f.count, f.inFlightSum, f.looks = Counts{}, 0, 0
 }
 
-// Holding is how many requests a server held on average.
-func (f *Service) Holding() float64 { return f.held / float64(max(1, f.looks)) }
+// MeanInFlight is how many requests a server held on average.
+func (f *Simulation) MeanInFlight() float64 { return f.inFlightSum / float64(max(1, f.looks)) }
 
 // Class is what came of the requests of a class.
-func (f *Service) Class(class int) ClassCounts { return f.classes[class] }
+func (f *Simulation) Class(class int) ClassCounts { return f.classes[class] }
 
-// Good is the share of the worth asked for that was answered in time.
-func (f *Service) Good() float64 {
+// Goodput is the share of the worth asked for that was answered in time.
+func (f *Simulation) Goodput() float64 {
 	good, all := 0.0, 0.0
 	for i, c := range f.classes {
-		good += f.cfg.Policy.Classes[i].PriorityWeight * float64(c.InTime)
-		all += f.cfg.Policy.Classes[i].PriorityWeight * float64(c.Asked)
+		good += f.config.Policy.Classes[i].PriorityWeight * float64(c.WithinObjective)
+		all += f.config.Policy.Classes[i].PriorityWeight * float64(c.Requests)
 	}
 	return good / all
 }
 
 // Counts returns what was counted since the start, or since Recount.
-func (f *Service) Counts() Counts { return f.count }
+func (f *Simulation) Counts() Counts { return f.count }
 
-// Broken returns the rules that were broken so far.
-func (f *Service) Broken() Broken { return f.broken }
+// Violations returns the rules that were broken so far.
+func (f *Simulation) Violations() Violations { return f.violations }
 
 // Err returns why sidecars could not start again, if any could not.
-func (f *Service) Err() error { return f.failed }
+func (f *Simulation) Err() error { return f.failed }
 
 // Digest sums up every send, answer, ending and list, in their order.
-func (f *Service) Digest() uint64 { return f.digest }
+func (f *Simulation) Digest() uint64 { return f.digest }
 
 // Now is the time on the fake clock.
-func (f *Service) Now() time.Duration { return f.clock.now }
+func (f *Simulation) Now() time.Duration { return f.clock.now }
 
-// mark adds something that happened to the digest.
-func (f *Service) mark(what, who, which uint64) {
+// addToDigest adds something that happened to the digest.
+func (f *Simulation) addToDigest(what, who, which uint64) {
 	for _, x := range [...]uint64{uint64(f.clock.now), what, who, which} {
 		f.digest = (f.digest ^ x) * 0x100000001b3
 		f.digest ^= f.digest >> 29
@@ -228,18 +228,18 @@
 }
 
 // reachable says whether discovery can be called from a zone.
-func (f *Service) reachable(zone int) bool {
+func (f *Simulation) reachable(zone int) bool {
 	return f.discovery != nil && !f.discovery.down && !f.network.cut[0][zone]
 }
 
 // allKnow takes the time of changes that all sidecars know now that could.
-func (f *Service) allKnow() {
+func (f *Simulation) allKnow() {
 	if len(f.pending) == 0 {
 		return
 	}
 	least := int64(1 << 62)
 	for _, s := range f.sidecars {
-		if s.b != nil {
+		if s.balancer != nil {
 			least = min(least, s.version)
 		}
 	}
@@ -249,15 +249,15 @@
 	}
 }
 
-// Known returns what it took until all sidecars knew of a change, for each change that all know; where they
+// PropagationTimes returns what it took until all sidecars knew of a change, for each change that all know; where they
 // could not be told, or were down, from the moment on that they could. It is measured to 50 ms.
-func (f *Service) Known() []time.Duration { return slices.Clone(f.known) }
+func (f *Simulation) PropagationTimes() []time.Duration { return slices.Clone(f.known) }
 
-// Unknown is how many changes not all sidecars know.
-func (f *Service) Unknown() int { return len(f.pending) }
+// PendingChanges is how many changes not all sidecars know.
+func (f *Simulation) PendingChanges() int { return len(f.pending) }
 
 // renew has what is pending count from now on, as discovery can be reached by more than before.
-func (f *Service) renew(zone func(int) bool) {
+func (f *Simulation) renew(zone func(int) bool) {
 	for z := range f.reach {
 		if zone(z) {
 			f.reach[z] = f.clock.now
@@ -268,54 +268,54 @@
 	}
 }
 
-// announce tells discovery of a server's state, from the server's zone or, where the server can't, by itself.
-func (f *Service) announce(i int, state policy.EndpointState) {
+// announceState tells discovery of a server's state, from the server's zone or, where the server can't, by itself.
+func (f *Simulation) announceState(i int, state policy.EndpointState) {
 	if f.discovery == nil {
 		return
 	}
 	m := f.servers[i]
-	life := m.life
-	f.network.stream(m.zone, 0, func() {
-		f.clock.after(f.discovery.cfg.Late, func() {
-			if m.life == life {
+	life := m.incarnation
+	f.network.sendReliable(m.zone, 0, func() {
+		f.clock.after(f.discovery.cfg.PropagationDelay, func() {
+			if m.incarnation == life {
 				f.discovery.change(i, state)
 			}
 		})
 	})
 }
 
-// StopDiscovery has all calls of discovery fail.
-func (f *Service) StopDiscovery() { f.discovery.stop() }
+// StartDiscoveryOutage has all calls of discovery fail.
+func (f *Simulation) StartDiscoveryOutage() { f.discovery.stop() }
 
-// StartDiscovery ends that. The list is as it was.
-func (f *Service) StartDiscovery() {
+// EndDiscoveryOutage ends that. The list is as it was.
+func (f *Simulation) EndDiscoveryOutage() {
 	f.discovery.down = false
 	f.renew(func(int) bool { return true })
 }
 
-// PartRegions cuts the regions off from one another, and JoinRegions ends that.
-func (f *Service) PartRegions() {
-	f.network.part(func(z int) int { return f.network.regions[z] }, true)
+// PartitionRegions cuts the regions off from one another, and JoinRegions ends that.
+func (f *Simulation) PartitionRegions() {
+	f.network.setPartition(func(z int) int { return f.network.regions[z] }, true)
 }
 
-// JoinRegions heals what PartRegions cut.
-func (f *Service) JoinRegions() {
-	f.network.part(func(z int) int { return f.network.regions[z] }, false)
+// HealPartition heals what PartRegions cut.
+func (f *Simulation) HealPartition() {
+	f.network.setPartition(func(z int) int { return f.network.regions[z] }, false)
 	f.renew(func(z int) bool { return f.network.regions[z] != f.network.regions[0] })
 }
 
-// LoseZone has all machines of a zone fail at once; not the first zone's, where discovery is. Discovery finds it
+// FailZone has all machines of a zone fail at once; not the first zone's, where discovery is. Discovery finds it
 // out by itself.
-func (f *Service) LoseZone(zone int) {
+func (f *Simulation) FailZone(zone int) {
 	for i, m := range f.servers {
 		if m.zone != zone {
 			continue
 		}
 		m.stop(true)
-		life := m.life
+		life := m.incarnation
 		if f.discovery != nil {
-			f.clock.after(f.discovery.cfg.Detect+f.discovery.cfg.Late, func() {
-				if m.life == life && m.down {
+			f.clock.after(f.discovery.cfg.FailureDetectionTime+f.discovery.cfg.PropagationDelay, func() {
+				if m.incarnation == life && m.down {
 					f.discovery.change(i, policy.Removed)
 				}
 			})
@@ -328,12 +328,12 @@
 	}
 }
 
-// ReturnZone starts all machines of a zone again: cold servers, and sidecars that hold no list.
-func (f *Service) ReturnZone(zone int) {
+// RestoreZone starts all machines of a zone again: cold servers, and sidecars that hold no list.
+func (f *Simulation) RestoreZone(zone int) {
 	for i, m := range f.servers {
 		if m.zone == zone {
 			m.start()
-			f.announce(i, policy.Ready)
+			f.announceState(i, policy.Ready)
 		}
 	}
 	for _, s := range f.sidecars {
@@ -345,20 +345,20 @@
 
 // Replace has server i leave, and after the grace stop for a time before it starts again, cold. With it goes the
 // sidecar of that number, if there is one, which starts again without a list.
-func (f *Service) Replace(i int, grace, pause time.Duration) {
+func (f *Simulation) Replace(i int, grace, pause time.Duration) {
 	m := f.servers[i]
-	f.announce(i, policy.Draining)
+	f.announceState(i, policy.Draining)
 	f.clock.after(grace, func() {
 		if m.down {
 			return // its zone was lost meanwhile
 		}
-		var s *sidecar
-		if i < len(f.sidecars) && f.sidecars[i].b != nil {
+		var s *simSidecar
+		if i < len(f.sidecars) && f.sidecars[i].balancer != nil {
 			s = f.sidecars[i]
 			s.stop()
 		}
 		f.restart(i, pause, func() {
-			if s != nil && s.b == nil {
+			if s != nil && s.balancer == nil {
 				f.failed = errors.Join(f.failed, s.start(nil))
 			}
 		})
@@ -366,22 +366,22 @@
 }
 
 // Crash has server i stop with all that it holds, and start again after a pause, cold. Its sidecar lives on.
-func (f *Service) Crash(i int, pause time.Duration) {
+func (f *Simulation) Crash(i int, pause time.Duration) {
 	if !f.servers[i].down {
 		f.restart(i, pause, func() {})
 	}
 }
 
 // restart stops a server and, after a pause, starts it again, unless something else has become of it.
-func (f *Service) restart(i int, pause time.Duration, then func()) {
+func (f *Simulation) restart(i int, pause time.Duration, then func()) {
 	m := f.servers[i]
 	m.stop(false)
-	f.announce(i, policy.Removed)
-	life := m.life
+	f.announceState(i, policy.Removed)
+	life := m.incarnation
 	f.clock.after(pause, func() {
-		if m.life == life {
+		if m.incarnation == life {
 			m.start()
-			f.announce(i, policy.Ready)
+			f.announceState(i, policy.Ready)
 			then()
 		}
 	})
--- a/internal/fleetsim/sizes.go
+++ b/internal/fleetsim/sizes.go
@@ -20,8 +20,8 @@
 	return sizes
 }
 
-// Even deals n sidecars out to the fewest services of most each at the most, all of one size or nearly.
-func Even(n, most int) []int {
+// EvenSizes deals n sidecars out to the fewest services of most each at the most, all of one size or nearly.
+func EvenSizes(n, most int) []int {
 	services := (n + most - 1) / most
 	sizes := make([]int, services)
 	for k := range sizes {
@@ -30,9 +30,9 @@
 	return sizes
 }
 
-// Play plays one service for each size, at most so many at once, and hands what each call of play returns to
+// RunAll plays one service for each size, at most so many at once, and hands what each call of play returns to
 // take, in the order of the services. Services do not meet, so nothing depends on how many run at once.
-func Play[T any](sizes []int, atOnce int, play func(service, size int) (T, error), take func(T)) error {
+func RunAll[T any](sizes []int, atOnce int, play func(service, size int) (T, error), take func(T)) error {
 	results, errs := make([]T, len(sizes)), make([]error, len(sizes))
 	var all sync.WaitGroup
 	next := make(chan int)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -13,14 +13,14 @@
 // fleetConfig is like the settings of the days at size: sidecars of very different traffic, rate requests a second
 // together, and servers of one core in two zones, where calls take no time and a list never changes.
 func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleetsim.Config {
-	class := func(worth float64, e policy.Idempotency) policy.Class {
-		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
+	class := func(priorityWeight float64, idempotency policy.Idempotency) policy.Class {
+		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: priorityWeight, Idempotency: idempotency, DedupWindow: 6 * time.Second}
 	}
 	return fleetsim.Config{
-		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, Rate: rate, Mix: []float64{0.63, 0.37},
-		ID:      func(i int) policy.EndpointID { return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
-		Server:  fleetsim.Server{Cores: 1, Work: 27 * ms, Room: 5, Choke: 500 * ms, Rest: 800 * ms},
-		Network: fleetsim.Network{DatagramLeast: 3 * ms, DatagramSpread: 20 * ms, DatagramLoss: 0.05},
+		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, RequestRate: rate, ClassMix: []float64{0.63, 0.37},
+		EndpointID: func(i int) policy.EndpointID { return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
+		Server:     fleetsim.ServerConfig{Cores: 1, ServiceTime: 27 * ms, OverloadQueue: 5, OverloadDelay: 500 * ms, RecoveryIdleTime: 800 * ms},
+		Network:    fleetsim.NetworkConfig{DatagramMinDelay: 3 * ms, DatagramJitter: 20 * ms, DatagramLoss: 0.05},
 		Policy: policy.Config{
 			Classes:     []policy.Class{class(1, policy.Idempotent), class(8, policy.IdempotentByKey)},
 			Tenants:     []policy.Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
@@ -30,36 +30,38 @@
 	}
 }
 
-// play plays a service for warm and then for d, counts anew in that, and finds no rule broken.
-func play(t *testing.T, cfg fleetsim.Config, warm, d time.Duration) *fleetsim.Service {
+// runSimulation plays a service for warm and then for d, counts anew in that, and finds no rule broken.
+func runSimulation(t *testing.T, cfg fleetsim.Config, warmUp, d time.Duration) *fleetsim.Simulation {
 	t.Helper()
-	f, err := fleetsim.New(cfg)
+	sim, err := fleetsim.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Run(warm)
-	f.Recount()
-	f.Run(d)
-	if broken := f.Broken(); broken.Total() > 0 {
-		t.Errorf("rules broken %v: %q", broken.Times, broken.Detail)
+	sim.Run(warmUp)
+	sim.ResetCounts()
+	sim.Run(d)
+	if violations := sim.Violations(); violations.Total() > 0 {
+		t.Errorf("rules broken %v: %q", violations.Counts, violations.Details)
 	}
-	return f
+	return sim
 }
 
 // Guards against walls that hold for each sidecar alone: 80 of them with a few slots each piled up more
 // on every server than it can work on, and the servers choked.
-func TestFleetLeavesServersRoomUnderOverload(t *testing.T) {
-	f := play(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second) // half as much again as 60 servers can do
-	if f.Holding() > 3.5 {
-		t.Errorf("a server held %.1f requests on average, want at most 3.5 of the 6 at which they choke", f.Holding())
+func TestFleetDoesNotOverloadServers(t *testing.T) {
+	sim := runSimulation(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second) // half as much again as 60 servers can do
+	if sim.MeanInFlight() > 3.5 {
+		t.Errorf("a server held %.1f requests on average, want at most 3.5 of the 6 at which they choke", sim.MeanInFlight())
 	}
 }
 
 // Guards against shedding by chance of arrival: what little a fleet short of servers can do must go to the
 // worthiest first.
-func TestFleetShedsTheLessWorthyFirst(t *testing.T) {
-	f := play(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second)
-	part := func(class int) float64 { return float64(f.Class(class).InTime) / float64(f.Class(class).Asked) }
+func TestFleetShedsLowPriorityFirst(t *testing.T) {
+	sim := runSimulation(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second)
+	part := func(class int) float64 {
+		return float64(sim.Class(class).WithinObjective) / float64(sim.Class(class).Requests)
+	}
 	little, much := part(0), part(1)
 	if much < 0.65 || little < 0.1 {
 		t.Errorf("%.2f of the worthy and %.2f of the others answered in time, want at least 0.65 and 0.1", much, little)
@@ -68,12 +70,12 @@
 
 // Guards against 80 sidecars that each learn too late, and from chance, how crowded servers are: told by one
 // another they refuse less while there is room, and more of the worthy are answered when there is not.
-func TestFleetThatTellsServesMore(t *testing.T) {
+func TestGossipRaisesGoodput(t *testing.T) {
 	good := func(rate float64, tell bool) (sum float64) {
 		for seed := range uint64(4) {
 			cfg := fleetConfig(seed, 80, 60, rate)
 			cfg.Policy.CanGossip = tell
-			sum += play(t, cfg, 3*time.Second, 4*time.Second).Good() / 4
+			sum += runSimulation(t, cfg, 3*time.Second, 4*time.Second).Goodput() / 4
 		}
 		return sum
 	}
