--- a/internal/fleetsim/clock.go
+++ b/internal/fleetsim/clock.go
@@ -2,71 +2,93 @@
 
 import "time"
 
-// event is something that happens at a time of the fake clock: a call, or a datagram that arrives.
+// event is something that happens at a time of the fake clock: a function call, or the arrival of a datagram.
 type event struct {
 	at  time.Duration
-	seq uint64 // events of one time happen in the order in which they were scheduled
-	run func()
+	seq uint64 // orders events of the same time by when they were scheduled
+	run func() // nil for the arrival of a datagram
 
-	// Datagrams are one event for all of one sender that arrive at one time: there are more than of all else.
+	// One event covers all recipients at which a datagram arrives at the same time, as datagrams outnumber all
+	// other events.
 	recipients []*simSidecar
 	sender     int
 	datagram   []byte
 }
 
-// before says whether an event comes ahead of another.
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+// before reports whether the event happens before another one.
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
+}
+
+// fire makes the event happen.
+func (e *event) fire() {
+	if e.run != nil {
+		e.run()
+		return
+	}
+	for _, s := range e.recipients {
+		s.receiveGossip(e.sender, e.datagram)
+	}
+}
 
-// clock is a fake clock with what is to happen, as a binary heap.
+// clock is a fake clock with the scheduled events as a binary heap.
 type clock struct {
 	now  time.Duration
 	seq  uint64
 	heap []event
 }
 
-// after schedules a call in d from now.
-func (c *clock) after(d time.Duration, do func()) { c.push(event{at: c.now + d, run: do}) }
+// after schedules a function call in d from now.
+func (c *clock) after(d time.Duration, run func()) { c.push(event{at: c.now + d, run: run}) }
 
+// hasEventUntil reports whether an event is scheduled at or before a time.
+func (c *clock) hasEventUntil(end time.Duration) bool { return len(c.heap) > 0 && c.heap[0].at <= end }
+
+// push schedules an event and sets its sequence number.
 func (c *clock) push(e event) {
 	c.seq++
 	e.seq = c.seq
 	c.heap = append(c.heap, e)
 	i := len(c.heap) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if !e.before(&c.heap[up]) {
+		parent := (i - 1) / 2
+		if !e.before(&c.heap[parent]) {
 			break
 		}
-		c.heap[i] = c.heap[up]
-		i = up
+		c.heap[i] = c.heap[parent]
+		i = parent
 	}
 	c.heap[i] = e
 }
 
-// pop takes the first event out; there must be one.
+// pop removes the first event; there must be one.
 func (c *clock) pop() event {
 	first, last := c.heap[0], len(c.heap)-1
-	e := c.heap[last]
-	c.heap[last] = event{} // what it refers to may go
+	moved := c.heap[last]
+	c.heap[last] = event{} // releases what it refers to
 	c.heap = c.heap[:last]
-	if last == 0 {
-		return first
+	if last > 0 {
+		c.siftDown(moved)
 	}
-	i := 0
+	return first
+}
+
+// siftDown places an event from the root of the heap downwards.
+func (c *clock) siftDown(e event) {
+	i, size := 0, len(c.heap)
 	for {
-		down := 2*i + 1
-		if down >= last {
+		child := 2*i + 1
+		if child >= size {
 			break
 		}
-		if down+1 < last && c.heap[down+1].before(&c.heap[down]) {
-			down++
+		if child+1 < size && c.heap[child+1].before(&c.heap[child]) {
+			child++
 		}
-		if !c.heap[down].before(&e) {
+		if !c.heap[child].before(&e) {
 			break
 		}
-		c.heap[i] = c.heap[down]
-		i = down
+		c.heap[i] = c.heap[child]
+		i = child
 	}
 	c.heap[i] = e
-	return first
 }
--- a/internal/fleetsim/counts.go
+++ b/internal/fleetsim/counts.go
@@ -2,96 +2,112 @@
 
 import "time"
 
-// Bytes of a message. Those of requests are assumed: a head without a body, and the IP and TCP headers.
-const (
-	datagramHeaders = 28   // IP and UDP
-	segmentHeaders  = 40   // IP and TCP
-	segment         = 1448 // what one carries
-	requestBytes    = 400
-	answerBytes     = 250
-	callBytes       = 150 // head of a call of discovery
-	listHead        = 120 // head of its answer
-)
-
-// Traffic counts messages and their bytes, headers included.
-type Traffic struct{ Messages, Bytes int64 }
-
-func (f *Traffic) add(bytes int) { f.Messages++; f.Bytes += int64(bytes) }
-
-func (f *Traffic) plus(o Traffic) { f.Messages += o.Messages; f.Bytes += o.Bytes }
-
-// TrafficCounts counts what comes to and goes out from all of one kind.
-type TrafficCounts struct{ Received, Sent Traffic }
-
-func (r *TrafficCounts) plus(o TrafficCounts) { r.Received.plus(o.Received); r.Sent.plus(o.Sent) }
-
-// Counts are what was counted, by role. What a sidecar sends and gets is the sum of Gossip, Lists and Requests.
+// Counts is what was counted over all sidecars, servers and discovery of one simulation. A sidecar's own traffic
+// is the sum of Gossip, EndpointLists and Attempts.
 type Counts struct {
-	Gossip         TrafficCounts // datagrams between sidecars, as these see them: one out goes to all
+	Gossip         TrafficCounts // datagrams between sidecars; one sent goes to all the others
 	DatagramsLost  int64
-	EndpointLists  TrafficCounts // calls and answers of discovery, as sidecars see them
-	EntriesRead    int64         // of lists that sidecars read
-	Attempts       TrafficCounts // attempts and their answers, as sidecars see them
+	EndpointLists  TrafficCounts // calls of discovery and their responses, as sidecars see them
+	EntriesRead    int64         // endpoint list entries that sidecars read
+	Attempts       TrafficCounts // attempts and their responses, as sidecars see them
 	ServerAttempts TrafficCounts // the same, as servers see them
 
 	Discovery DiscoveryCounts
 
-	Requests, WithinObjective, ObjectiveMissed, Rejected, Failed int64 // requests of clients, over all classes
+	// Client requests over all classes, as in ClassCounts.
+	Requests, WithinObjective, ObjectiveMissed, Rejected, Failed int64
 
-	// Processor time, where it is measured. It is no part of what is exact.
+	// Processor time, if Config.MeasureCPU is set. It differs from run to run.
 	RequestCPU       time.Duration // in Request and Outcome
-	ControlCPU       time.Duration // in Heard, Wake and List, and the reading of datagrams and lists
-	BalancerRequests int64         // requests handed to Balancers, clients' further tries included
+	ControlCPU       time.Duration // in ReceiveGossip, TimerFired and UpdateEndpoints, and in decoding their arguments
+	BalancerRequests int64         // requests handed to Balancers, retries of clients included
 
-	// The same for the first Config.HighRateSidecars sidecars alone.
+	// The same for the first Config.HighRateSidecars sidecars only.
 	HighRateRequestCPU, HighRateControlCPU time.Duration
 	HighRateBalancerRequests               int64
 }
 
-// DiscoveryCounts are what discovery did.
+// DiscoveryCounts is what discovery did.
 type DiscoveryCounts struct {
 	TrafficCounts
-	Processed      int64         // calls and watches that it worked on
-	EntriesWritten int64         // that it wrote
-	ProcessingTime time.Duration // on these
-	MaxQueueWait   time.Duration // that one waited for its turn
-	TimedOut       int64         // calls that waited too long
-	Changes        int64
+	Processed      int64         // calls, and watches that a change answered
+	EntriesWritten int64         // in responses
+	ProcessingTime time.Duration // of these calls
+	MaxQueueWait   time.Duration // of one call
+	TimedOut       int64         // calls that waited in the queue for too long
+	Changes        int64         // of the endpoint list
+}
+
+// ClassCounts counts the client requests of one class by how they ended. A request that was sent again by its
+// client counts once.
+type ClassCounts struct {
+	Requests        int
+	WithinObjective int // answered within the latency objective
+	ObjectiveMissed int // answered after it
+	Rejected        int // shed, without a retry of the client that was admitted
+	Failed          int
 }
 
 // Add adds other counts.
-func (c *Counts) Add(o *Counts) {
-	c.Gossip.plus(o.Gossip)
-	c.EndpointLists.plus(o.EndpointLists)
-	c.Attempts.plus(o.Attempts)
-	c.ServerAttempts.plus(o.ServerAttempts)
-	c.DatagramsLost += o.DatagramsLost
-	c.EntriesRead += o.EntriesRead
-	c.Discovery.TrafficCounts.plus(o.Discovery.TrafficCounts)
-	c.Discovery.Processed += o.Discovery.Processed
-	c.Discovery.EntriesWritten += o.Discovery.EntriesWritten
-	c.Discovery.ProcessingTime += o.Discovery.ProcessingTime
-	c.Discovery.MaxQueueWait = max(c.Discovery.MaxQueueWait, o.Discovery.MaxQueueWait)
-	c.Discovery.TimedOut += o.Discovery.TimedOut
-	c.Discovery.Changes += o.Discovery.Changes
-	c.Requests += o.Requests
-	c.WithinObjective += o.WithinObjective
-	c.ObjectiveMissed += o.ObjectiveMissed
-	c.Rejected += o.Rejected
-	c.Failed += o.Failed
-	c.RequestCPU += o.RequestCPU
-	c.ControlCPU += o.ControlCPU
-	c.BalancerRequests += o.BalancerRequests
-	c.HighRateRequestCPU += o.HighRateRequestCPU
-	c.HighRateControlCPU += o.HighRateControlCPU
-	c.HighRateBalancerRequests += o.HighRateBalancerRequests
+func (c *Counts) Add(other *Counts) {
+	c.Gossip.merge(other.Gossip)
+	c.EndpointLists.merge(other.EndpointLists)
+	c.Attempts.merge(other.Attempts)
+	c.ServerAttempts.merge(other.ServerAttempts)
+	c.DatagramsLost += other.DatagramsLost
+	c.EntriesRead += other.EntriesRead
+	c.Discovery.merge(&other.Discovery)
+	c.Requests += other.Requests
+	c.WithinObjective += other.WithinObjective
+	c.ObjectiveMissed += other.ObjectiveMissed
+	c.Rejected += other.Rejected
+	c.Failed += other.Failed
+	c.RequestCPU += other.RequestCPU
+	c.ControlCPU += other.ControlCPU
+	c.BalancerRequests += other.BalancerRequests
+	c.HighRateRequestCPU += other.HighRateRequestCPU
+	c.HighRateControlCPU += other.HighRateControlCPU
+	c.HighRateBalancerRequests += other.HighRateBalancerRequests
 }
 
-// WithoutCPUTime is the counts without what is measured on a real clock: the same for the same seed.
+func (d *DiscoveryCounts) merge(other *DiscoveryCounts) {
+	d.TrafficCounts.merge(other.TrafficCounts)
+	d.Processed += other.Processed
+	d.EntriesWritten += other.EntriesWritten
+	d.ProcessingTime += other.ProcessingTime
+	d.MaxQueueWait = max(d.MaxQueueWait, other.MaxQueueWait)
+	d.TimedOut += other.TimedOut
+	d.Changes += other.Changes
+}
+
+// WithoutCPUTime returns the counts without processor times, which are the same for the same seed.
 func (c Counts) WithoutCPUTime() Counts {
 	c.RequestCPU, c.ControlCPU, c.HighRateRequestCPU, c.HighRateControlCPU = 0, 0, 0, 0
 	return c
 }
 
-// onWire is a body's bytes with the headers of the segments that carry it.
-func onWire(body int) int { return body + segmentHeaders*max(1, (body+segment-1)/segment) }
+// countRequest, countAnswered, countRejected and countFailed count a client request, by class and overall.
+func (sim *Simulation) countRequest(class int) {
+	sim.classCounts[class].Requests++
+	sim.counts.Requests++
+}
+
+func (sim *Simulation) countAnswered(class int, latency time.Duration) {
+	if latency <= sim.config.Policy.Classes[class].LatencyObjective {
+		sim.classCounts[class].WithinObjective++
+		sim.counts.WithinObjective++
+		return
+	}
+	sim.classCounts[class].ObjectiveMissed++
+	sim.counts.ObjectiveMissed++
+}
+
+func (sim *Simulation) countRejected(class int) {
+	sim.classCounts[class].Rejected++
+	sim.counts.Rejected++
+}
+
+func (sim *Simulation) countFailed(class int) {
+	sim.classCounts[class].Failed++
+	sim.counts.Failed++
+}
--- /dev/null
+++ b/internal/fleetsim/digest.go
@@ -0,0 +1,24 @@
+package fleetsim
+
+// digestEvent numbers an event in Simulation.Digest.
+type digestEvent uint64
+
+const (
+	digestRequest    digestEvent = 1
+	digestReject     digestEvent = 2
+	digestFail       digestEvent = 3
+	digestSend       digestEvent = 4
+	digestAttemptEnd digestEvent = 5 // plus the policy.Result
+	digestList       digestEvent = 20
+)
+
+// digestPrime is the prime of the 64-bit FNV hash.
+const digestPrime = 0x100000001b3
+
+// addToDigest adds an event of a sidecar and the request, server or list version that it is about.
+func (sim *Simulation) addToDigest(event digestEvent, sidecar int, subject uint64) {
+	for _, x := range [...]uint64{uint64(sim.clock.now), uint64(event), uint64(sidecar), subject} {
+		sim.digest = (sim.digest ^ x) * digestPrime
+		sim.digest ^= sim.digest >> 29
+	}
+}
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -1,6 +1,7 @@
 package fleetsim
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -9,217 +10,247 @@
 	"cranehatch/policy"
 )
 
-// DiscoveryConfig sets what the model discovery can bear. It works on calls in turn.
-type DiscoveryConfig struct {
-	CallTime             time.Duration // that a call takes it,
-	EntryTime            time.Duration // and each line of its answer
-	QueueTimeout         time.Duration // a call that waited longer for its turn fails
-	PropagationDelay     time.Duration // a change is in its list so long after it was told
-	FailureDetectionTime time.Duration // and a machine that was lost this long after that
-}
+// noVersion is the version of an endpoint list that is not there. A call with it gets the complete list.
+const noVersion = int64(-1)
+
+// serversPerSubnet is how many servers share the first three bytes of their IP address.
+const serversPerSubnet = 250
 
-// errUnavailable is what a call that fails is answered with, instead of a list.
-const errUnavailable = "unavailable"
+// errUnavailable is the result of a call that discovery fails.
+var errUnavailable = errors.New("discovery is unavailable")
 
-// simDiscovery holds the list of one service: all servers, and the order of their changes. It is in zone 0.
+// simDiscovery is the simulated discovery service, in zone 0. It has the endpoint list of the service, with all
+// changes, and processes calls one at a time.
 type simDiscovery struct {
-	sim     *Simulation
-	cfg     DiscoveryConfig
-	down    bool
-	lines   []string // of the servers' entries
-	ready   []policy.EndpointState
-	log     []int // servers by the version that changed them: version v is log[v-1]
-	turns   []*call
-	working bool
-	watches []*call
-	answers map[int64]answer // by the version that they begin at, while the list stays as it is
-}
-
-// answer is one answer, as it goes over the wire.
-type answer struct {
-	body  []byte
-	lines int
-}
-
-// call is one call of a sidecar: for the whole list (index below 0), or what changed since, held for up to wait.
-type call struct {
-	zone   int
-	index  int64
-	wait   time.Duration
-	since  time.Duration // when it began to wait for its turn
-	ended  bool          // it was answered or given up
-	answer func(a answer, err string)
-}
-
-func newDiscovery(f *Simulation, cfg DiscoveryConfig) *simDiscovery {
-	d := &simDiscovery{sim: f, cfg: cfg, answers: make(map[int64]answer)}
-	for i, m := range f.servers {
-		d.lines = append(d.lines, "")
-		d.ready = append(d.ready, policy.Ready)
-		d.log = append(d.log, i)
-		d.write(m, i)
+	sim    *Simulation
+	config DiscoveryConfig
+	down   bool
+
+	entries   []string // JSON, by server
+	states    []policy.EndpointState
+	changeLog []int                  // servers in the order of their changes: change v-1 makes version v
+	responses map[int64]listResponse // to the current list, by the version that the caller has
+
+	queue      []*listCall
+	processing bool        // a call is being processed
+	watches    []*listCall // calls that wait for a change
+}
+
+// listCall is a call of a sidecar. It asks for what changed since a version, or for the complete list, and waits up
+// to maxWait for a change.
+type listCall struct {
+	zone     int
+	since    int64 // noVersion: the complete list
+	maxWait  time.Duration
+	queuedAt time.Duration
+	done     bool // answered or cancelled
+	respond  func(response listResponse, err error)
+}
+
+// listResponse is a response as it is sent.
+type listResponse struct {
+	body    []byte
+	entries int
+}
+
+func newDiscovery(sim *Simulation, config DiscoveryConfig) *simDiscovery {
+	d := &simDiscovery{sim: sim, config: config, responses: make(map[int64]listResponse)}
+	for i := range sim.servers {
+		d.entries = append(d.entries, "")
+		d.states = append(d.states, policy.Ready)
+		d.changeLog = append(d.changeLog, i)
+		d.updateEntry(i)
 	}
 	return d
 }
 
-// write renews a server's line.
-func (d *simDiscovery) write(m *simServer, i int) {
-	lifecycle := map[policy.EndpointState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}[d.ready[i]]
-	d.lines[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
+func zoneName(zone int) string { return "z" + strconv.Itoa(zone) }
+
+// lifecycle is the name of a state in an endpoint list.
+func lifecycle(state policy.EndpointState) string {
+	switch state {
+	case policy.Draining:
+		return "draining"
+	case policy.Removed:
+		return "gone"
+	}
+	return "ready"
+}
+
+// updateEntry encodes the entry of a server anew.
+func (d *simDiscovery) updateEntry(i int) {
+	server := d.sim.servers[i]
+	d.entries[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":%.3f}`,
-		m.name, m.zone, i/250, 1+i%250, zoneName(m.zone), i%4, lifecycle, float64(m.startedAt.Microseconds())/1000)
+		server.name, server.zone, i/serversPerSubnet, 1+i%serversPerSubnet, zoneName(server.zone), i%4,
+		lifecycle(d.states[i]), float64(server.startedAt.Microseconds())/1000)
 }
 
-func zoneName(zone int) string { return "z" + strconv.Itoa(zone) }
+// version is the current version of the list.
+func (d *simDiscovery) version() int64 { return int64(len(d.changeLog)) }
 
-// version is the list's as it is.
-func (d *simDiscovery) version() int64 { return int64(len(d.log)) }
-
-// change enters that a server's state has changed, and opens the watches.
-func (d *simDiscovery) change(i int, state policy.EndpointState) {
-	m := d.sim.servers[i]
-	d.ready[i] = state
-	d.log = append(d.log, i)
-	d.write(m, i)
-	clear(d.answers)
-	d.sim.count.Discovery.Changes++
+// setState changes the state of a server, and answers all watches.
+func (d *simDiscovery) setState(i int, state policy.EndpointState) {
+	server := d.sim.servers[i]
+	d.states[i] = state
+	d.changeLog = append(d.changeLog, i)
+	d.updateEntry(i)
+	clear(d.responses)
+	d.sim.counts.Discovery.Changes++
 	if state == policy.Ready {
-		m.drainingSince = 0
-	} else if m.drainingSince == 0 {
-		m.drainingSince = d.sim.clock.now
+		server.drainingSince = 0
+	} else if server.drainingSince == 0 {
+		server.drainingSince = d.sim.clock.now
 	}
-	d.sim.pending = append(d.sim.pending, pending{d.version(), d.sim.clock.now})
-	for _, c := range d.watches {
-		d.queue(c)
+	d.sim.propagation.add(d.version(), d.sim.clock.now)
+	for _, call := range d.watches {
+		d.enqueue(call)
 	}
 	d.watches = d.watches[:0]
 }
 
-// response is the answer to those who hold a version.
-func (d *simDiscovery) response(index int64) answer {
-	if a, ok := d.answers[index]; ok {
-		return a
+// response returns the response for a caller that has a version of the list.
+func (d *simDiscovery) response(since int64) listResponse {
+	if cached, ok := d.responses[since]; ok {
+		return cached
 	}
-	var named []int
-	whole := index < 0 || index > d.version()
-	if whole {
-		for i := range d.lines {
-			if d.ready[i] != policy.Removed { // the whole list leaves out those that have left
-				named = append(named, i)
-			}
-		}
+	complete := since < 0 || since > d.version()
+	var servers []int
+	if complete {
+		servers = d.present()
 	} else {
-		named = slices.Clone(d.log[index:])
-		slices.Sort(named)
-		named = slices.Compact(named)
+		servers = d.changedSince(since)
 	}
-	body := fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[`, d.version(), whole)
-	for n, i := range named {
+	body := fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[`, d.version(), complete)
+	for n, i := range servers {
 		if n > 0 {
 			body = append(body, ',')
 		}
-		body = append(body, d.lines[i]...)
+		body = append(body, d.entries[i]...)
 	}
-	a := answer{append(body, "]}"...), len(named)}
-	d.answers[index] = a
-	return a
+	response := listResponse{append(body, "]}"...), len(servers)}
+	d.responses[since] = response
+	return response
+}
+
+// present returns the servers of the complete list, which omits those that are gone.
+func (d *simDiscovery) present() (servers []int) {
+	for i, state := range d.states {
+		if state != policy.Removed {
+			servers = append(servers, i)
+		}
+	}
+	return servers
+}
+
+// changedSince returns the servers that changed after a version, each once.
+func (d *simDiscovery) changedSince(version int64) []int {
+	servers := slices.Clone(d.changeLog[version:])
+	slices.Sort(servers)
+	return slices.Compact(servers)
 }
 
-// take takes a call that has arrived.
-func (d *simDiscovery) take(c *call) {
-	d.sim.count.Discovery.Received.add(onWire(callBytes))
+// receive takes a call that has arrived.
+func (d *simDiscovery) receive(call *listCall) {
+	d.sim.counts.Discovery.Received.add(wireBytes(listRequestBytes))
 	if d.down {
-		d.fail(c)
+		d.fail(call)
 		return
 	}
-	d.queue(c)
+	d.enqueue(call)
 }
 
-func (d *simDiscovery) queue(c *call) {
-	c.since = d.sim.clock.now
-	d.turns = append(d.turns, c)
-	d.work()
+func (d *simDiscovery) enqueue(call *listCall) {
+	call.queuedAt = d.sim.clock.now
+	d.queue = append(d.queue, call)
+	d.processNext()
 }
 
-// work gives the next call its turn, if none has it.
-func (d *simDiscovery) work() {
-	for !d.working && len(d.turns) > 0 {
-		c := d.turns[0]
-		d.turns = d.turns[1:]
-		waited := d.sim.clock.now - c.since
+// processNext begins to process the next call, unless another one is being processed.
+func (d *simDiscovery) processNext() {
+	for !d.processing && len(d.queue) > 0 {
+		call := d.queue[0]
+		d.queue = d.queue[1:]
+		waited := d.sim.clock.now - call.queuedAt
 		switch {
-		case c.ended:
-			continue
-		case waited > d.cfg.QueueTimeout:
-			d.sim.count.Discovery.TimedOut++
-			d.fail(c)
-			continue
-		}
-		n := &d.sim.count.Discovery
-		n.Processed++
-		n.MaxQueueWait = max(n.MaxQueueWait, waited)
-		if c.index == d.version() && c.wait > 0 { // nothing to tell it yet
-			d.busy(c, d.cfg.CallTime, func() { d.hold(c) })
-			return
+		case call.done:
+		case waited > d.config.QueueTimeout:
+			d.sim.counts.Discovery.TimedOut++
+			d.fail(call)
+		default:
+			d.process(call, waited)
 		}
-		a := d.response(c.index)
-		n.EntriesWritten += int64(a.lines)
-		d.busy(c, d.cfg.CallTime+time.Duration(a.lines)*d.cfg.EntryTime, func() { d.reply(c, a) })
 	}
 }
 
-// busy works on a call for a time, and then goes on with the next.
-func (d *simDiscovery) busy(c *call, took time.Duration, done func()) {
-	d.working = true
-	d.sim.count.Discovery.ProcessingTime += took
-	d.sim.clock.after(took, func() {
-		d.working = false
+// process begins to process a call that has waited in the queue.
+func (d *simDiscovery) process(call *listCall, waited time.Duration) {
+	counts := &d.sim.counts.Discovery
+	counts.Processed++
+	counts.MaxQueueWait = max(counts.MaxQueueWait, waited)
+	if call.since == d.version() && call.maxWait > 0 { // nothing has changed yet
+		d.finishAfter(call, d.config.CallTime, func() { d.addWatch(call) })
+		return
+	}
+	response := d.response(call.since)
+	counts.EntriesWritten += int64(response.entries)
+	processingTime := d.config.CallTime + time.Duration(response.entries)*d.config.EntryTime
+	d.finishAfter(call, processingTime, func() { d.respond(call, response) })
+}
+
+// finishAfter finishes a call after its processing time, and begins with the next one.
+func (d *simDiscovery) finishAfter(call *listCall, processingTime time.Duration, finish func()) {
+	d.processing = true
+	d.sim.counts.Discovery.ProcessingTime += processingTime
+	d.sim.clock.after(processingTime, func() {
+		d.processing = false
 		if d.down {
-			d.fail(c)
+			d.fail(call)
 			return
 		}
-		done()
-		d.work()
+		finish()
+		d.processNext()
 	})
 }
 
-// hold keeps a watch open until the list changes or its time is over.
-func (d *simDiscovery) hold(c *call) {
-	if c.index < d.version() { // it changed while the call had its turn
-		d.queue(c)
+// addWatch keeps a call open until the list changes or its time is over.
+func (d *simDiscovery) addWatch(call *listCall) {
+	if call.since < d.version() { // the list changed while the call was processed
+		d.enqueue(call)
 		return
 	}
-	d.watches = append(d.watches, c)
-	d.sim.clock.after(c.wait, func() {
-		if i := slices.Index(d.watches, c); i >= 0 {
+	d.watches = append(d.watches, call)
+	d.sim.clock.after(call.maxWait, func() {
+		if i := slices.Index(d.watches, call); i >= 0 {
 			d.watches = slices.Delete(d.watches, i, i+1)
-			d.reply(c, d.response(c.index))
+			d.respond(call, d.response(call.since))
 		}
 	})
 }
 
-func (d *simDiscovery) reply(c *call, a answer) {
-	if c.ended {
+// respond sends a response, unless the call has ended.
+func (d *simDiscovery) respond(call *listCall, response listResponse) {
+	if call.done {
 		return
 	}
-	d.sim.count.Discovery.Sent.add(onWire(listHead + len(a.body)))
-	d.sim.network.sendReliable(0, c.zone, func() { c.answer(a, "") })
+	d.sim.counts.Discovery.Sent.add(wireBytes(listResponseHeadBytes + len(response.body)))
+	d.sim.network.sendReliable(0, call.zone, func() { call.respond(response, nil) })
 }
 
-// fail answers a call with no list.
-func (d *simDiscovery) fail(c *call) {
-	if c.ended {
+// fail sends an error, unless the call has ended.
+func (d *simDiscovery) fail(call *listCall) {
+	if call.done {
 		return
 	}
-	d.sim.count.Discovery.Sent.add(onWire(listHead))
-	d.sim.network.sendReliable(0, c.zone, func() { c.answer(answer{}, errUnavailable) })
+	d.sim.counts.Discovery.Sent.add(wireBytes(listResponseHeadBytes))
+	d.sim.network.sendReliable(0, call.zone, func() { call.respond(listResponse{}, errUnavailable) })
 }
 
-// stop has it fail whoever calls, and whoever waits.
-func (d *simDiscovery) stop() {
+// startOutage fails all calls in the queue, all watches and all calls to come.
+func (d *simDiscovery) startOutage() {
 	d.down = true
-	for _, c := range slices.Concat(d.turns, d.watches) {
-		d.fail(c)
+	for _, call := range slices.Concat(d.queue, d.watches) {
+		d.fail(call)
 	}
-	d.turns, d.watches = nil, d.watches[:0]
+	d.queue, d.watches = nil, d.watches[:0]
 }
--- /dev/null
+++ b/internal/fleetsim/faults_test.go
@@ -0,0 +1,100 @@
+package fleetsim
+
+import (
+	"testing"
+	"time"
+)
+
+// A zone of a fleet loses all its hosts, and they restart 20 s later. The restarted sidecars read an entry for each
+// server, all the others only the changes. No invariant is violated, and each change reaches all within 5 s.
+func TestZoneOutage(t *testing.T) {
+	sim := newSimulation(t, testConfig(0, 100, 5))
+	failLastZone(sim, 10*time.Second, 20*time.Second, 30*time.Second)
+	checkInvariants(t, sim)
+	c := sim.Counts()
+	const failed, running = 16, 84 // of 100 in 6 zones
+	if c.Discovery.Changes != 2*failed {
+		t.Errorf("%d changes, want %d failures and as many restarts", c.Discovery.Changes, failed)
+	}
+	// Running sidecars read all changes. Each restarted one reads the complete list, of at least the running servers
+	// and at most all, and then the changes.
+	changes := int64(running * 2 * failed)
+	if c.EntriesRead < changes+failed*running || c.EntriesRead > changes+failed*(100+2*failed) {
+		t.Errorf("%d entries were read, want at least %d", c.EntriesRead, changes+failed*running)
+	}
+	if times := sim.PropagationTimes(); len(times) != 2*failed || maxDuration(times) > 5*time.Second {
+		t.Errorf("%d changes have reached all, the slowest after %v", len(times), maxDuration(times))
+	}
+}
+
+// The network between two regions is partitioned for a minute, while servers are replaced on both sides. No invariant
+// is violated, and all changes reach all within 15 s after the partition has healed.
+func TestRegionPartition(t *testing.T) {
+	sim := newSimulation(t, testConfig(0, 100, 5))
+	partitionRegions(sim, 10, time.Minute)
+	checkInvariants(t, sim)
+	if times := sim.PropagationTimes(); sim.PendingChanges() > 0 || len(times) < 20 || maxDuration(times) > 15*time.Second {
+		t.Errorf("%d changes have reached all, the slowest after %v, and %d have not", len(times), maxDuration(times), sim.PendingChanges())
+	}
+}
+
+// A tenth of the servers is replaced in a rolling update. No invariant is violated, and each change reaches all
+// within 5 s.
+func TestRollingReplacement(t *testing.T) {
+	const replaced, changesEach = 11, 3 // draining, gone and ready
+	sim := newSimulation(t, testConfig(0, 100, 5))
+	sim.Run(2 * time.Second)
+	replaceServers(sim, replaced, 30*time.Second)
+	sim.Run(time.Minute)
+	checkInvariants(t, sim)
+	if times := sim.PropagationTimes(); len(times) != changesEach*replaced || sim.PendingChanges() > 0 || maxDuration(times) > 5*time.Second {
+		t.Errorf("%d changes have reached all, want %d, the slowest after %v, and %d have not",
+			len(times), changesEach*replaced, maxDuration(times), sim.PendingChanges())
+	}
+}
+
+// Servers crash one after the other with the requests they have in flight. A non-idempotent request that may have
+// been executed is not sent again, and each request gets its response in time.
+func TestServerCrashes(t *testing.T) {
+	sim := newSimulation(t, testConfig(0, 60, 30))
+	sim.Run(2 * time.Second)
+	for k := range 40 {
+		sim.clock.after(time.Duration(k)*500*ms, func() { sim.Crash(k*7%60, 2*time.Second) })
+	}
+	sim.Run(25 * time.Second)
+	checkInvariants(t, sim)
+	if c := sim.Class(nonIdempotentClass); c.Failed == 0 || c.WithinObjective < c.Requests*9/10 {
+		t.Errorf("of the non-idempotent requests %+v, want some failures and nine tenths within the objective", c)
+	}
+}
+
+// Servers restart with a tenth of their capacity. Each of 300 sidecars could send them just one request at a time,
+// and all together still stay within the slow-start budget.
+func TestSlowStartLimitsNewServers(t *testing.T) {
+	cfg := testConfig(0, 300, 2)
+	cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 12, 0.1, 1.2
+	sim := newSimulation(t, cfg)
+	sim.Run(2 * time.Second)
+	for k := range 6 {
+		sim.clock.after(time.Duration(k)*time.Second, func() { sim.Crash(2*k, 2*time.Second) })
+	}
+	sim.Run(20 * time.Second)
+	checkInvariants(t, sim)
+}
+
+// Discovery has an outage while servers are replaced. No invariant is violated, and all changes reach all within 15 s
+// after the outage.
+func TestDiscoveryOutage(t *testing.T) {
+	sim := newSimulation(t, testConfig(0, 60, 5))
+	sim.Run(5 * time.Second)
+	sim.StartDiscoveryOutage()
+	sim.Run(3 * time.Second)
+	replaceServers(sim, 6, 5*time.Second)
+	sim.Run(20 * time.Second)
+	sim.EndDiscoveryOutage()
+	sim.Run(30 * time.Second)
+	checkInvariants(t, sim)
+	if times := sim.PropagationTimes(); sim.PendingChanges() > 0 || len(times) == 0 || maxDuration(times) > 15*time.Second {
+		t.Errorf("%d changes have reached all, the slowest after %v, and %d have not", len(times), maxDuration(times), sim.PendingChanges())
+	}
+}
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -5,45 +5,38 @@
 	"time"
 )
 
-// NetworkConfig sets what the model network does. The zero value carries everything at once and loses nothing.
-type NetworkConfig struct {
-	SameZoneDelay    time.Duration // one way within a zone
-	CrossZoneDelay   time.Duration // one way to another zone of the region
-	CrossRegionDelay time.Duration // one way to another region
-
-	DatagramMinDelay time.Duration // a datagram takes at least this more,
-	DatagramJitter   time.Duration // and up to this more again, evenly spread in 20 steps
-	DatagramLoss     float64       // share of datagrams that never arrive
-}
-
 const (
-	// What is lost of a connection is sent again after this, then after twice as long each time, as TCP does
-	// with the first segment of a connection. Whoever waits for it gives up by its own clock.
-	firstResend = time.Second
-	lastResend  = 2 * time.Minute
+	// A segment that is lost is retransmitted after initialRetransmit, then after twice as long each time up to
+	// maxRetransmit, as TCP does with the first segment of a connection.
+	initialRetransmit = time.Second
+	maxRetransmit     = 2 * time.Minute
 
-	datagramSteps = 20
+	// jitterSteps is the number of values that the jitter of a datagram can have.
+	jitterSteps = 20
 )
 
-// simNetwork carries messages between zones, each with its delay, or not at all where it is cut.
+// simNetwork delivers messages between zones, with a delay, unless a partition separates them.
 type simNetwork struct {
 	NetworkConfig
-	clock   *clock
-	rng     *rand.Rand
-	regions []int    // of each zone
-	cut     [][]bool // by zone, both ways
+	clock       *clock
+	rng         *rand.Rand
+	regions     []int    // by zone
+	partitioned [][]bool // by zone of the sender and of the recipient
 }
 
-func newNetwork(cfg NetworkConfig, c *clock, rng *rand.Rand, zones, regions int) *simNetwork {
-	n := &simNetwork{NetworkConfig: cfg, clock: c, rng: rng}
-	for z := range zones {
-		n.regions = append(n.regions, z*regions/zones)
-		n.cut = append(n.cut, make([]bool, zones))
+func newNetwork(config NetworkConfig, c *clock, rng *rand.Rand, zones, regions int) *simNetwork {
+	n := &simNetwork{NetworkConfig: config, clock: c, rng: rng}
+	for zone := range zones {
+		n.regions = append(n.regions, zone*regions/zones)
+		n.partitioned = append(n.partitioned, make([]bool, zones))
 	}
 	return n
 }
 
-// delay is what one way between two zones takes.
+// region is the region of a zone.
+func (n *simNetwork) region(zone int) int { return n.regions[zone] }
+
+// delay is the one-way delay between two zones.
 func (n *simNetwork) delay(from, to int) time.Duration {
 	switch {
 	case from == to:
@@ -54,51 +47,55 @@
 	return n.CrossRegionDelay
 }
 
-// sendOnce carries part of a request or an answer to it. What a cut swallows is lost: attempts are given up
-// long before it would be sent again.
-func (n *simNetwork) sendOnce(from, to int, do func()) {
-	switch d := n.delay(from, to); {
-	case n.cut[from][to]:
-	case d == 0:
-		do()
+// sendOnce delivers a message of an attempt, at once where there is no delay. A partition drops it: the attempt
+// times out long before a retransmission.
+func (n *simNetwork) sendOnce(from, to int, deliver func()) {
+	switch delay := n.delay(from, to); {
+	case n.partitioned[from][to]:
+	case delay == 0:
+		deliver()
 	default:
-		n.clock.after(d, do)
+		n.clock.after(delay, deliver)
 	}
 }
 
-// sendReliable carries something over a connection that outlasts a cut: it is sent again until it arrives.
-func (n *simNetwork) sendReliable(from, to int, do func()) { n.resend(from, to, firstResend, do) }
+// sendReliable delivers a message over a connection that outlasts a partition: it is retransmitted until it arrives.
+func (n *simNetwork) sendReliable(from, to int, deliver func()) {
+	n.sendWithRetransmit(from, to, initialRetransmit, deliver)
+}
 
-func (n *simNetwork) resend(from, to int, pause time.Duration, do func()) {
-	if n.cut[from][to] {
-		n.clock.after(pause, func() { n.resend(from, to, min(2*pause, lastResend), do) })
+func (n *simNetwork) sendWithRetransmit(from, to int, retransmit time.Duration, deliver func()) {
+	if n.partitioned[from][to] {
+		n.clock.after(retransmit, func() {
+			n.sendWithRetransmit(from, to, min(2*retransmit, maxRetransmit), deliver)
+		})
 		return
 	}
-	n.clock.after(n.delay(from, to), do)
+	n.clock.after(n.delay(from, to), deliver)
 }
 
-// datagramArrives tells whether a datagram arrives, and in which step of its spread.
+// datagramArrives draws whether a datagram arrives, and the step of its jitter.
 func (n *simNetwork) datagramArrives(from, to int) (step int, arrives bool) {
-	if n.cut[from][to] || n.rng.Float64() >= 1-n.DatagramLoss {
+	if n.partitioned[from][to] || n.rng.Float64() >= 1-n.DatagramLoss {
 		return 0, false
 	}
 	if n.DatagramJitter > 0 {
-		step = n.rng.IntN(datagramSteps)
+		step = n.rng.IntN(jitterSteps)
 	}
 	return step, true
 }
 
-// spread is how long a datagram takes of that step.
-func (n *simNetwork) spread(from, to, step int) time.Duration {
-	return n.delay(from, to) + n.DatagramMinDelay + n.DatagramJitter*time.Duration(step)/datagramSteps
+// datagramDelay is the delay of a datagram with that step of jitter.
+func (n *simNetwork) datagramDelay(from, to, step int) time.Duration {
+	return n.delay(from, to) + n.DatagramMinDelay + n.DatagramJitter*time.Duration(step)/jitterSteps
 }
 
-// setPartition cuts or heals what connects different sides, named by a number for each zone.
-func (n *simNetwork) setPartition(side func(zone int) int, cut bool) {
-	for from := range n.cut {
-		for to := range n.cut {
-			if side(from) != side(to) {
-				n.cut[from][to] = cut
+// setPartition starts or ends a partition between all zones of different groups.
+func (n *simNetwork) setPartition(group func(zone int) int, partitioned bool) {
+	for from := range n.partitioned {
+		for to := range n.partitioned {
+			if group(from) != group(to) {
+				n.partitioned[from][to] = partitioned
 			}
 		}
 	}
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -8,169 +8,184 @@
 	"cranehatch/policy"
 )
 
-// ServerConfig sets what a model map server can do. It serves in turn, as many at once as it has cores; one that has
-// far more waiting than it can work on for a while chokes: it takes 2.5 times as long, until it has been idle for a while.
-// Cold, it is slower too, by policy.Config's Cold fields, and chokes when it is sent more than its budget.
-type ServerConfig struct {
-	Cores            int           // at least 1
-	ServiceTime      time.Duration // of a request, on average
-	OverloadQueue    int           // it chokes where more than this are there for each core,
-	OverloadDelay    time.Duration // for so long
-	RecoveryIdleTime time.Duration // until it has been idle for so long
-}
+const (
+	// slowStartWindow is the time for which a server in slow start has one budget of requests.
+	slowStartWindow = 1 * time.Second
+
+	// A service time has a constant part and an exponentially distributed one, as fractions of the mean.
+	constantServiceFraction    = 0.25
+	exponentialServiceFraction = 0.75
 
-// coldWindow is the time within which, again and again from its start on, a cold server counts what it gets.
-const coldWindow = 1 * time.Second
+	// An overloaded server takes overloadFactorTenths/10 of the usual time.
+	overloadFactorTenths = 25
+)
 
+// simServer is a simulated server.
 type simServer struct {
 	sim         *Simulation
-	name        string // instanceId
+	name        string // its instanceId
 	id          policy.EndpointID
 	zone        int
-	startedAt   time.Duration // 0: long ago
-	incarnation int           // counts its starts and ends
-	down        bool          // its process has ended
-	lost        bool          // and its machine does not even say so
+	startedAt   time.Duration // 0 for servers that were up before the simulation
+	incarnation int           // incremented at each start and stop
+	down        bool          // the process has stopped
+	hostFailed  bool          // the host too, so that it does not even reset connections
 
-	busy               int        // cores at work: on the first so many of the queue
-	queue              []*attempt // what it holds
+	queue              []*attempt // in flight, in the order of arrival
+	executing          int        // the first so many of the queue are executing, each on a core
 	overThresholdSince time.Duration
-	idle               time.Duration // since when
-	choked             bool
+	lastCompletion     time.Duration
+	overloaded         bool
 
-	window        int // of its cold time: which one it counts
-	got           int // and what it got in that
-	drainingSince time.Duration
+	slowStart     slowStartCounter
+	drainingSince time.Duration // when discovery knew that it drains or is gone; 0 if it is ready
 }
 
-// attempt is one attempt of a request.
-type attempt struct {
-	to      *simServer
-	request *request
-	number  int
-	ended   bool // for the sidecar
-}
+// slowStartCounter counts the requests of a server in the current window of its slow start.
+type slowStartCounter struct{ window, requests int }
 
-// warmth is the share of its capacity that the server has at an age.
-func (m *simServer) warmth(age time.Duration) float64 {
-	p := &m.sim.config.Policy
-	if m.startedAt == 0 || age >= p.SlowStartDuration {
+// capacity is the fraction of its full capacity that the server has at an age.
+func (server *simServer) capacity(age time.Duration) float64 {
+	p := &server.sim.config.Policy
+	if server.startedAt == 0 || age >= p.SlowStartDuration {
 		return 1
 	}
 	return p.SlowStartFraction + (1-p.SlowStartFraction)*float64(age)/float64(p.SlowStartDuration)
 }
 
-// slowStartBudget is how many requests a cold server may get in a window: ColdMultiple of what it can do, and room for
-// the chance of arrivals, two standard deviations and two.
-func (m *simServer) slowStartBudget(window int) float64 {
-	p := &m.sim.config.Policy
-	middle := time.Duration(window)*coldWindow + coldWindow/2
-	n := p.OverloadFactor * m.warmth(middle) * float64(m.sim.config.Server.Cores) * float64(coldWindow) / float64(m.sim.config.Server.ServiceTime)
+// slowStartBudget is how many requests a server in slow start may get in a window: OverloadFactor times what it can
+// execute, and an allowance of two standard deviations and two for random arrivals.
+func (server *simServer) slowStartBudget(window int) float64 {
+	config := &server.sim.config
+	middle := time.Duration(window)*slowStartWindow + slowStartWindow/2
+	n := config.Policy.OverloadFactor * server.capacity(middle) *
+		float64(config.Server.Cores) * float64(slowStartWindow) / float64(config.Server.ServiceTime)
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// countSlowStartRequest counts a request that a cold server got, against its budget.
-func (m *simServer) countSlowStartRequest() {
-	p, age := &m.sim.config.Policy, m.sim.clock.now-m.startedAt
-	if m.startedAt == 0 || age >= p.SlowStartDuration || p.OverloadFactor == 0 {
+// countSlowStartRequest counts a request during the slow start, and checks SlowStartBudget.
+func (server *simServer) countSlowStartRequest() {
+	p, age := &server.sim.config.Policy, server.sim.clock.now-server.startedAt
+	if server.startedAt == 0 || age >= p.SlowStartDuration || p.OverloadFactor == 0 {
 		return
 	}
-	if window := int(age / coldWindow); window != m.window {
-		m.window, m.got = window, 0
+	counter := &server.slowStart
+	if window := int(age / slowStartWindow); window != counter.window {
+		*counter = slowStartCounter{window: window}
 	}
-	if m.got++; float64(m.got) > m.slowStartBudget(m.window) {
-		m.sim.recordViolation(SlowStartBudget, "server %s got %d in second %d of its life", m.name, m.got, m.window)
-		m.choked = true
+	counter.requests++
+	if float64(counter.requests) > server.slowStartBudget(counter.window) {
+		server.sim.recordViolation(SlowStartBudget, "server %s got %d requests in second %d after its start",
+			server.name, counter.requests, counter.window)
+		server.overloaded = true
 	}
 }
 
-// take takes an attempt that has arrived.
-func (m *simServer) take(a *attempt) {
-	f := m.sim
-	f.count.ServerAttempts.Received.add(requestBytes)
+// receive takes an attempt that has arrived.
+func (server *simServer) receive(a *attempt) {
+	server.sim.counts.ServerAttempts.Received.add(requestBytes)
 	switch {
-	case m.lost: // nobody answers
+	case server.hostFailed: // no response, not even a reset
 		return
-	case m.down:
-		m.reject(a, policy.ConnectFailed)
+	case server.down:
+		server.reportFailure(a, policy.ConnectFailed)
 		return
 	}
-	m.countSlowStartRequest()
-	m.queue = append(m.queue, a)
-	if len(m.queue) > f.config.Server.OverloadQueue*f.config.Server.Cores && m.overThresholdSince == 0 {
-		m.overThresholdSince = f.clock.now
+	server.countSlowStartRequest()
+	server.queue = append(server.queue, a)
+	if server.aboveThreshold() && server.overThresholdSince == 0 {
+		server.overThresholdSince = server.sim.clock.now
 	}
-	m.serve()
+	server.startExecutions()
 }
 
-// serve sets a free core to work on the next in the queue.
-func (m *simServer) serve() {
-	f, set := m.sim, &m.sim.config.Server
-	for !m.down && m.busy < min(set.Cores, len(m.queue)) {
-		if f.clock.now-m.idle > set.RecoveryIdleTime && m.busy == 0 {
-			m.choked = false
-		}
-		work := time.Duration((0.25 + 0.75*f.rng.ExpFloat64()) * float64(set.ServiceTime) / m.warmth(f.clock.now-m.startedAt))
-		if m.choked {
-			work = work * 5 / 2
+// aboveThreshold reports whether the queue is long enough to cause an overload.
+func (server *simServer) aboveThreshold() bool {
+	config := &server.sim.config.Server
+	return len(server.queue) > config.OverloadQueue*config.Cores
+}
+
+// startExecutions begins to execute queued attempts as long as a core is idle.
+func (server *simServer) startExecutions() {
+	sim := server.sim
+	for !server.down && server.executing < min(sim.config.Server.Cores, len(server.queue)) {
+		if sim.clock.now-server.lastCompletion > sim.config.Server.RecoveryIdleTime && server.executing == 0 {
+			server.overloaded = false
 		}
-		a, life := m.queue[m.busy], m.incarnation
-		m.busy++
-		f.executionStarted(a)
-		f.clock.after(work, func() {
-			if m.incarnation == life {
-				m.done(a)
+		serviceTime := server.drawServiceTime()
+		a, incarnation := server.queue[server.executing], server.incarnation
+		server.executing++
+		sim.executionStarted(a)
+		sim.clock.after(serviceTime, func() {
+			if server.incarnation == incarnation {
+				server.complete(a)
 			}
 		})
 	}
 }
 
-// done answers an attempt that a core has worked on.
-func (m *simServer) done(a *attempt) {
-	f, set := m.sim, &m.sim.config.Server
-	m.busy--
-	m.idle = f.clock.now
-	i := slices.Index(m.queue, a)
-	m.queue = slices.Delete(m.queue, i, i+1)
-	if len(m.queue) <= set.OverloadQueue*set.Cores {
-		m.overThresholdSince = 0
-	} else if f.clock.now-m.overThresholdSince > set.OverloadDelay {
-		m.choked = true
+// drawServiceTime draws how long the next request takes.
+func (server *simServer) drawServiceTime() time.Duration {
+	sim := server.sim
+	factor := constantServiceFraction + exponentialServiceFraction*sim.rng.ExpFloat64()
+	age := sim.clock.now - server.startedAt
+	serviceTime := time.Duration(factor * float64(sim.config.Server.ServiceTime) / server.capacity(age))
+	if server.overloaded {
+		return serviceTime * overloadFactorTenths / 10
 	}
-	f.count.ServerAttempts.Sent.add(answerBytes)
-	f.network.sendOnce(m.zone, a.request.sidecar.zone, func() { a.request.sidecar.end(a, policy.Succeeded) })
-	m.serve()
+	return serviceTime
+}
+
+// complete responds to an attempt that was executed.
+func (server *simServer) complete(a *attempt) {
+	sim := server.sim
+	server.executing--
+	server.lastCompletion = sim.clock.now
+	i := slices.Index(server.queue, a)
+	server.queue = slices.Delete(server.queue, i, i+1)
+	if !server.aboveThreshold() {
+		server.overThresholdSince = 0
+	} else if sim.clock.now-server.overThresholdSince > sim.config.Server.OverloadDelay {
+		server.overloaded = true
+	}
+	sim.counts.ServerAttempts.Sent.add(responseBytes)
+	s := a.request.sidecar
+	sim.network.sendOnce(server.zone, s.zone, func() { s.endAttempt(a, policy.Succeeded) })
+	server.startExecutions()
 }
 
-// drop takes an attempt that was given up out of the queue; one that is worked on is so to its end.
-func (m *simServer) drop(a *attempt) {
-	if i := slices.Index(m.queue, a); i >= m.busy {
-		m.queue = slices.Delete(m.queue, i, i+1)
+// cancel removes an attempt from the queue, unless it is executing: then it is executed to its end.
+func (server *simServer) cancel(a *attempt) {
+	if i := slices.Index(server.queue, a); i >= server.executing {
+		server.queue = slices.Delete(server.queue, i, i+1)
 	}
 }
 
-// stop ends the process. Those who wait learn that their connections broke, unless the machine is lost too.
-func (m *simServer) stop(lost bool) {
-	m.down, m.lost = true, lost
-	m.incarnation++
-	if !lost {
-		for _, a := range m.queue {
-			m.reject(a, policy.ConnectionLost)
+// stop ends the process. Its connections are reset, unless the host has failed too.
+func (server *simServer) stop(hostFailed bool) {
+	server.down, server.hostFailed = true, hostFailed
+	server.incarnation++
+	if !hostFailed {
+		for _, a := range server.queue {
+			server.reportFailure(a, policy.ConnectionLost)
 		}
 	}
-	m.queue, m.busy, m.overThresholdSince = nil, 0, 0
+	server.queue, server.executing, server.overThresholdSince = nil, 0, 0
 }
 
-// reject tells a sidecar that an attempt ended without an answer: as an event of its own, for a Balancer may be
-// in the midst of sending.
-func (m *simServer) reject(a *attempt, e policy.Result) {
+// reportFailure reports to a sidecar that an attempt ended without a response. It is an event of its own, as the
+// Balancer may be in a call of Send.
+func (server *simServer) reportFailure(a *attempt, result policy.Result) {
 	s := a.request.sidecar
-	m.sim.clock.after(0, func() { m.sim.network.sendOnce(m.zone, s.zone, func() { s.end(a, e) }) })
+	server.sim.clock.after(0, func() {
+		server.sim.network.sendOnce(server.zone, s.zone, func() { s.endAttempt(a, result) })
+	})
 }
 
-// start begins a new process, which is cold.
-func (m *simServer) start() {
-	m.incarnation++
-	m.down, m.lost, m.choked = false, false, false
-	m.startedAt, m.idle, m.window, m.got = m.sim.clock.now, m.sim.clock.now, 0, 0
+// start begins a new process, in slow start.
+func (server *simServer) start() {
+	server.incarnation++
+	server.down, server.hostFailed, server.overloaded = false, false, false
+	server.startedAt, server.lastCompletion = server.sim.clock.now, server.sim.clock.now
+	server.slowStart = slowStartCounter{}
 }
--- /dev/null
+++ b/internal/fleetsim/simulation.go
@@ -0,0 +1,201 @@
+// Package fleetsim simulates the sidecars of one service, its servers, its discovery service and the network between
+// them in one process, to measure what only shows in a fleet. Each simulated sidecar runs a real policy.Balancer and
+// the real formats of gossip messages and endpoint lists; everything else is a model on a fake clock.
+//
+// A simulation is deterministic: the same Config gives the same events, as all random draws come from its seed and
+// nothing depends on the real clock or on the order of a map.
+//
+// A Simulation must only be used by one goroutine at a time. Simulations are independent of one another, so RunAll
+// runs several at once.
+package fleetsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"cranehatch/internal/endpointlist"
+	"cranehatch/policy"
+)
+
+const (
+	// startTime is the time on the fake clock at which a simulation starts.
+	startTime = time.Second
+
+	// inFlightSampleInterval is how often the requests in flight at servers are sampled.
+	inFlightSampleInterval = 10 * time.Millisecond
+
+	// worldStream is the random stream of the simulated world for Config.Seed.
+	worldStream = 2
+)
+
+// Simulation is the simulated fleet of one service.
+type Simulation struct {
+	config      Config
+	clock       *clock
+	rng         *rand.Rand
+	network     *simNetwork
+	discovery   *simDiscovery // nil if the endpoint list never changes
+	servers     []*simServer
+	serverByID  map[policy.EndpointID]*simServer
+	sidecars    []*simSidecar
+	zones       map[string]int // by name
+	lastRequest policy.RequestID
+	startErrors error // of sidecars that could not restart
+
+	classCounts     []ClassCounts
+	counts          Counts
+	violations      Violations
+	digest          uint64
+	inFlightSum     float64 // mean requests in flight per server, summed over samples
+	inFlightSamples int
+
+	propagation             propagation
+	discoveryReachableSince []time.Duration // by zone
+}
+
+// New starts the fleet. It returns an error if the settings cannot be simulated or are invalid for a Balancer.
+func New(config Config) (*Simulation, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	sim := &Simulation{
+		config:                  config,
+		clock:                   &clock{now: startTime},
+		rng:                     rand.New(rand.NewPCG(config.Seed, worldStream)),
+		serverByID:              make(map[policy.EndpointID]*simServer),
+		zones:                   make(map[string]int),
+		classCounts:             make([]ClassCounts, len(config.Policy.Classes)),
+		discoveryReachableSince: make([]time.Duration, config.Zones),
+	}
+	sim.network = newNetwork(config.Network, sim.clock, sim.rng, config.Zones, config.Regions)
+	for zone := range config.Zones {
+		sim.zones[zoneName(zone)] = zone
+	}
+	sim.addServers()
+	list, err := sim.addDiscovery()
+	if err != nil {
+		return nil, fmt.Errorf("fleetsim: initial endpoint list: %w", err)
+	}
+	sim.addSidecars()
+	for _, s := range sim.sidecars {
+		if err := s.start(&list); err != nil {
+			return nil, fmt.Errorf("fleetsim: %w", err)
+		}
+	}
+	return sim, nil
+}
+
+// addServers creates the servers.
+func (sim *Simulation) addServers() {
+	for i := range sim.config.Servers {
+		server := &simServer{sim: sim, name: fmt.Sprintf("s-%05d", i), zone: (sim.config.FirstZone + i) % sim.config.Zones}
+		server.id = endpointlist.ServerID(server.name)
+		if sim.config.EndpointID != nil {
+			server.id = sim.config.EndpointID(i)
+		}
+		sim.servers = append(sim.servers, server)
+		sim.serverByID[server.id] = server
+	}
+}
+
+// addDiscovery creates the discovery service, if there is one, and returns the initial endpoint list.
+func (sim *Simulation) addDiscovery() (endpointlist.List, error) {
+	discovery := newDiscovery(sim, DiscoveryConfig{})
+	if sim.config.Discovery != nil {
+		discovery.config, sim.discovery = *sim.config.Discovery, discovery
+	}
+	list, err := endpointlist.Parse(discovery.response(noVersion).body, sim.zones)
+	if err != nil {
+		return endpointlist.List{}, err
+	}
+	for i := range list.Servers { // the initial list is in the order of the servers
+		list.Servers[i].ID = sim.servers[i].id
+	}
+	return list, nil
+}
+
+// addSidecars creates the sidecars and sets their request rates.
+func (sim *Simulation) addSidecars() {
+	total := 0.0
+	for i := range sim.config.Sidecars {
+		s := newSidecar(sim, i)
+		total += s.requestRate
+		sim.sidecars = append(sim.sidecars, s)
+	}
+	for _, s := range sim.sidecars {
+		s.requestRate *= sim.config.RequestRate / max(total, 1e-9)
+		if s.highRate {
+			s.requestRate = sim.config.HighRate
+		}
+	}
+}
+
+// Run continues the simulation for d on the fake clock.
+func (sim *Simulation) Run(d time.Duration) {
+	end := sim.clock.now + d
+	nextSample, lastCheck := sim.clock.now, sim.clock.now
+	for sim.clock.hasEventUntil(end) {
+		e := sim.clock.pop()
+		for ; nextSample <= e.at; nextSample += inFlightSampleInterval {
+			sim.sampleInFlight()
+		}
+		sim.clock.now = e.at
+		e.fire()
+		if e.at-lastCheck >= propagationCheckInterval {
+			lastCheck = e.at
+			sim.updatePropagation()
+		}
+	}
+	sim.clock.now = end
+	sim.updatePropagation()
+}
+
+// sampleInFlight samples how many requests are in flight at servers.
+func (sim *Simulation) sampleInFlight() {
+	inFlight := 0
+	for _, server := range sim.servers {
+		inFlight += len(server.queue)
+	}
+	sim.inFlightSamples++
+	sim.inFlightSum += float64(inFlight) / float64(len(sim.servers))
+}
+
+// ResetCounts restarts all counts, for instance after a warm-up. Violations and propagation times stay.
+func (sim *Simulation) ResetCounts() {
+	clear(sim.classCounts)
+	sim.counts, sim.inFlightSum, sim.inFlightSamples = Counts{}, 0, 0
+}
+
+// Counts returns what was counted since the start or the last ResetCounts.
+func (sim *Simulation) Counts() Counts { return sim.counts }
+
+// Class returns the counts of the class with that index in policy.Config.Classes.
+func (sim *Simulation) Class(class int) ClassCounts { return sim.classCounts[class] }
+
+// MeanInFlight is the mean number of requests in flight at a server, queued or executing.
+func (sim *Simulation) MeanInFlight() float64 {
+	return sim.inFlightSum / float64(max(1, sim.inFlightSamples))
+}
+
+// Goodput is the fraction of the requests, weighted by priority, that were answered within their latency objective.
+func (sim *Simulation) Goodput() float64 {
+	good, all := 0.0, 0.0
+	for i, c := range sim.classCounts {
+		good += sim.config.Policy.Classes[i].PriorityWeight * float64(c.WithinObjective)
+		all += sim.config.Policy.Classes[i].PriorityWeight * float64(c.Requests)
+	}
+	return good / all
+}
+
+// Violations returns the invariant violations since the start.
+func (sim *Simulation) Violations() Violations { return sim.violations }
+
+// Err returns the errors of sidecars that could not restart, or nil.
+func (sim *Simulation) Err() error { return sim.startErrors }
+
+// Digest is a hash of all requests, sends, results and endpoint lists, in their order.
+func (sim *Simulation) Digest() uint64 { return sim.digest }
+
+// Now is the time on the fake clock. It starts at 1 s.
+func (sim *Simulation) Now() time.Duration { return sim.clock.now }
