--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
+	"hash"
 	"hash/fnv"
-	"io"
 	"testing"
 	"time"
 
@@ -11,9 +11,11 @@
 	"cranehatch/policy"
 )
 
-// The numbers that stand for the calls in a golden digest. They never change; a new call gets a new number.
+// goldenCall is the number of a Host method in a golden digest. The numbers never change; a new method gets a new one.
+type goldenCall int
+
 const (
-	goldenSend = iota + 1
+	goldenSend goldenCall = iota + 1
 	goldenReject
 	goldenFail
 	goldenCancel
@@ -25,28 +27,27 @@
 	goldenCallCount
 )
 
-// goldenRecorder digests the host calls of all sidecars of one service in their order. It holds numbers only.
+// goldenRecorder computes a digest of the Host calls of all sidecars of one simulation, in their order.
 type goldenRecorder struct {
 	sim         *Simulation
-	hash        io.Writer
-	sum         func() uint64
-	callCounts  [goldenCallCount]int // by their number
-	adopted     []*policy.Balancer
-	initialList []policy.Endpoint // the list that sidecars are given at first
+	hash        hash.Hash64
+	callCounts  [goldenCallCount]int
+	adopted     []*policy.Balancer // by sidecar
+	initialList []policy.Endpoint  // that sidecars have at the start of the simulation
 }
 
-// recordingHost stands between a Balancer and its sidecar.
+// recordingHost records the calls of a Balancer and passes them to its sidecar.
 type recordingHost struct {
 	*goldenRecorder
 	sidecar   *simSidecar
-	replaying bool // the sidecar has had these calls already
+	replaying bool // the sidecar has had these calls before, from the Balancer that this one replaces
 }
 
-// record writes one call down: its time, its sidecar, its number and its arguments. It says whether the sidecar is
-// still to have it.
-func (h *recordingHost) record(call int, args ...any) bool {
+// record adds a call to the digest: its time, its sidecar, its number and its arguments. It returns whether to pass
+// the call to the sidecar.
+func (h *recordingHost) record(call goldenCall, args ...any) bool {
 	h.callCounts[call]++
-	fmt.Fprintf(h.hash, "%d %d %d", int64(h.sim.clock.now), h.sidecar.index, call)
+	fmt.Fprintf(h.hash, "%d %d %d", int64(h.sim.clock.now), h.sidecar.index, int(call))
 	for _, arg := range args {
 		fmt.Fprintf(h.hash, " %v", arg)
 	}
@@ -111,70 +112,65 @@
 // Log is left out: its texts are for people and may change.
 func (h *recordingHost) Log(line string) { h.sidecar.Log(line) }
 
-// newGoldenRecorder records a service that has not run yet.
+// newGoldenRecorder records a simulation that has not run yet.
 func newGoldenRecorder(t testing.TB, sim *Simulation) *goldenRecorder {
 	t.Helper()
-	hash := fnv.New64a()
-	g := &goldenRecorder{sim: sim, hash: hash, sum: hash.Sum64, adopted: make([]*policy.Balancer, len(sim.sidecars))}
-	list, err := endpointlist.Parse(sim.discovery.response(-1).body, sim.zones)
+	g := &goldenRecorder{sim: sim, hash: fnv.New64a(), adopted: make([]*policy.Balancer, len(sim.sidecars))}
+	list, err := endpointlist.Parse(sim.discovery.response(noVersion).body, sim.zones)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.initialList = list.Servers
-	g.adopt(t)
-	g.initialList = nil // sidecars that start again hold no list
+	g.adoptAll(t)
+	g.initialList = nil // sidecars that restart have no list
 	return g
 }
 
-// adopt replaces the Balancer of each sidecar that has just started by an equal one whose calls are recorded. A
-// Balancer's calls follow from its seed and what it is told, so the new one is told what sidecar.start told the
-// old one; the calls it makes then are recorded, but the sidecar has already had them.
-func (g *goldenRecorder) adopt(t testing.TB) {
+// adoptAll adopts the sidecars that have started since the last call.
+func (g *goldenRecorder) adoptAll(t testing.TB) {
 	t.Helper()
-	sim := g.sim
-	for i, s := range sim.sidecars {
-		if s.balancer == nil || s.balancer == g.adopted[i] {
-			continue
-		}
-		cfg := sim.config.Policy
-		cfg.Balancers, cfg.Index, cfg.Zone = len(sim.sidecars), s.index, s.zone
-		host := &recordingHost{goldenRecorder: g, sidecar: s, replaying: true}
-		b, err := policy.New(cfg, uint64(s.index)+uint64(s.incarnation)<<40, host)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Start(sim.clock.now)
-		if g.initialList != nil {
-			b.UpdateEndpoints(sim.clock.now, policy.CachedUpdate, g.initialList)
+	for i, s := range g.sim.sidecars {
+		if s.balancer != nil && s.balancer != g.adopted[i] {
+			g.adopt(t, s)
 		}
-		host.replaying = false
-		s.balancer, g.adopted[i] = b, b
 	}
 }
 
-// run plays on for d like Service.Run, without its counts, and adopts each sidecar right after the event that
-// starts it.
+// adopt replaces the Balancer of a sidecar that has just started by an equal one whose calls are recorded. A
+// Balancer's calls follow from its seed and its events, so the new one gets the events that simSidecar.start gave the
+// old one. The calls it makes then are recorded, but not passed on, as the sidecar has had them.
+func (g *goldenRecorder) adopt(t testing.TB, s *simSidecar) {
+	t.Helper()
+	host := &recordingHost{goldenRecorder: g, sidecar: s, replaying: true}
+	b, err := s.newBalancer(host)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Start(g.sim.clock.now)
+	if g.initialList != nil {
+		b.UpdateEndpoints(g.sim.clock.now, policy.CachedUpdate, g.initialList)
+	}
+	host.replaying = false
+	s.balancer, g.adopted[s.index] = b, b
+}
+
+// run continues the simulation as Simulation.Run does, without its samples, and adopts each sidecar right after the
+// event that starts it.
 func (g *goldenRecorder) run(t testing.TB, d time.Duration) {
 	t.Helper()
 	sim := g.sim
 	end := sim.clock.now + d
-	g.adopt(t)
-	for len(sim.clock.heap) > 0 && sim.clock.heap[0].at <= end {
+	g.adoptAll(t)
+	for sim.clock.hasEventUntil(end) {
 		e := sim.clock.pop()
 		sim.clock.now = e.at
-		if e.recipients == nil {
-			e.run()
-			g.adopt(t)
-			continue
-		}
-		for _, s := range e.recipients {
-			s.receiveGossip(e.sender, e.datagram)
-		}
+		e.fire()
+		g.adoptAll(t)
 	}
 	sim.clock.now = end
 }
 
-// disconnectOldestRequests has the client of each sidecar's oldest request go, if an attempt of it is out.
+// disconnectOldestRequests disconnects the client of the oldest request of each sidecar that has an attempt in flight.
 func disconnectOldestRequests(sim *Simulation) {
 	for _, s := range sim.sidecars {
 		var oldest *request
@@ -189,138 +185,180 @@
 	}
 }
 
-// goldenScenarios are the plays whose digests are kept. Each acts on a service and has it run by the function given.
-var goldenScenarios = []struct {
-	name   string
-	config func() Config
-	act    func(sim *Simulation, run func(time.Duration))
-	want   uint64
-}{
-	{"steady with gossip", func() Config { return testConfig(1, 60, 4) }, func(sim *Simulation, run func(time.Duration)) {
-		run(6 * time.Second)
-	}, 0x9f04164adf41fdfa},
-	{"overload without gossip", func() Config {
-		cfg := testConfig(2, 12, 90)
-		cfg.Policy.CanGossip = false
-		return cfg
-	}, func(sim *Simulation, run func(time.Duration)) {
-		run(5 * time.Second)
-	}, 0xa03c58c2bfefea3f},
-	{"roll-out", func() Config { return testConfig(0, 40, 5) }, func(sim *Simulation, run func(time.Duration)) {
-		run(2 * time.Second)
-		replaceServers(sim, 20, 15*time.Second)
-		run(35 * time.Second)
-	}, 0xbc01dd98ca6b1cbc},
-	{"roll-out, probes and closes allowed", func() Config {
-		cfg := testConfig(3, 20, 20)
-		cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.DrainCloseTimeout = true, policy.HasInFlight, 100*ms
-		return cfg
-	}, func(sim *Simulation, run func(time.Duration)) {
-		run(2 * time.Second)
-		replaceServers(sim, 10, 8*time.Second)
-		run(20 * time.Second)
-	}, 0x176155d6e53a8836},
-	{"zone lost and back", func() Config { return testConfig(0, 40, 8) }, func(sim *Simulation, run func(time.Duration)) {
-		run(5 * time.Second)
-		sim.FailZone(sim.config.Zones - 1)
-		run(10 * time.Second)
-		sim.RestoreZone(sim.config.Zones - 1)
-		run(15 * time.Second)
-	}, 0xdc1f48c661dcf76f},
-	{"regions apart", func() Config { return testConfig(0, 40, 5) }, func(sim *Simulation, run func(time.Duration)) {
-		run(5 * time.Second)
-		sim.PartitionRegions()
-		replaceServers(sim, 6, 15*time.Second)
-		run(20 * time.Second)
-		sim.HealPartition()
-		run(20 * time.Second)
-	}, 0x031467ad4e5537cc},
-	{"discovery down", func() Config { return testConfig(0, 40, 5) }, func(sim *Simulation, run func(time.Duration)) {
-		run(3 * time.Second)
-		sim.StartDiscoveryOutage()
-		run(3 * time.Second)
-		replaceServers(sim, 6, 5*time.Second)
-		run(15 * time.Second)
-		sim.EndDiscoveryOutage()
-		run(15 * time.Second)
-	}, 0xdc76b0eea57028c9},
-	{"discovery overrun", func() Config {
-		cfg := testConfig(1, 60, 1)
-		cfg.Discovery.CallTime, cfg.Discovery.QueueTimeout = 100*ms, time.Second
-		return cfg
-	}, func(sim *Simulation, run func(time.Duration)) {
-		run(15 * time.Second)
-	}, 0x8855b636048526d0},
-	{"short deadlines", func() Config {
-		cfg := testConfig(4, 12, 60)
-		for i := range cfg.Policy.Classes {
-			cfg.Policy.Classes[i].LatencyObjective, cfg.Policy.Classes[i].Deadline = 60*ms, 120*ms
-		}
-		return cfg
-	}, func(sim *Simulation, run func(time.Duration)) {
-		run(5 * time.Second)
-	}, 0xf8bab8f0735ffbb2},
-	{"clients quit", func() Config { return testConfig(5, 12, 40) }, func(sim *Simulation, run func(time.Duration)) {
-		for k := range 100 {
-			sim.clock.after(time.Duration(k)*30*ms, func() { disconnectOldestRequests(sim) })
-		}
-		run(5 * time.Second)
-	}, 0xdc9d05f63f1da8b4},
-	{"crashes", func() Config { return testConfig(0, 30, 30) }, func(sim *Simulation, run func(time.Duration)) {
-		run(2 * time.Second)
-		for k := range 20 {
-			sim.clock.after(time.Duration(k)*500*ms, func() { sim.Crash(k*7%30, 2*time.Second) })
-		}
-		run(12 * time.Second)
-	}, 0xfd590881f2b5d24f},
-	{"cold servers", func() Config {
-		cfg := testConfig(0, 100, 2)
-		cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 6, 0.1, 1.2
-		return cfg
-	}, func(sim *Simulation, run func(time.Duration)) {
-		run(2 * time.Second)
-		for k := range 3 {
-			sim.clock.after(time.Duration(k)*time.Second, func() { sim.Crash(2*k, 2*time.Second) })
-		}
-		run(10 * time.Second)
-	}, 0x60b82509bd6c1497},
+// goldenScenario is a simulation with a digest of its calls. Its run function gets the function that runs
+// the simulation for a time, so that a recorder can take part.
+type goldenScenario struct {
+	name       string
+	config     func() Config
+	run        func(sim *Simulation, run func(time.Duration))
+	wantDigest uint64
+}
+
+// goldenScenarios are the steady states, faults and settings that the digests cover.
+func goldenScenarios() []goldenScenario {
+	return []goldenScenario{
+		{"steady with gossip", unchangedConfig(1, 60, 4), runFor(6 * time.Second), 0x9f04164adf41fdfa},
+		{"overload without gossip", overloadWithoutGossip, runFor(5 * time.Second), 0xa03c58c2bfefea3f},
+		{"rolling replacement", unchangedConfig(0, 40, 5), replaceHalf, 0xbc01dd98ca6b1cbc},
+		{"rolling replacement with health checks", withHealthChecks, replaceHalfBriefly, 0x176155d6e53a8836},
+		{"zone outage", unchangedConfig(0, 40, 8), zoneOutage, 0xdc1f48c661dcf76f},
+		{"region partition", unchangedConfig(0, 40, 5), regionPartition, 0x031467ad4e5537cc},
+		{"discovery outage", unchangedConfig(0, 40, 5), discoveryOutage, 0xdc76b0eea57028c9},
+		{"discovery overload", slowDiscovery, runFor(15 * time.Second), 0x8855b636048526d0},
+		{"short deadlines", shortDeadlines, runFor(5 * time.Second), 0xf8bab8f0735ffbb2},
+		{"client disconnects", unchangedConfig(5, 12, 40), clientDisconnects, 0xdc9d05f63f1da8b4},
+		{"server crashes", unchangedConfig(0, 30, 30), serverCrashes, 0xfd590881f2b5d24f},
+		{"slow start", slowStart, slowStartCrashes, 0x60b82509bd6c1497},
+	}
+}
+
+// unchangedConfig returns testConfig with these arguments.
+func unchangedConfig(seed uint64, sidecars int, ratePerSidecar float64) func() Config {
+	return func() Config { return testConfig(seed, sidecars, ratePerSidecar) }
+}
+
+func overloadWithoutGossip() Config {
+	cfg := testConfig(2, 12, 90)
+	cfg.Policy.CanGossip = false
+	return cfg
+}
+
+// withHealthChecks allows health checks and closing of idle connections, which testConfig does not.
+func withHealthChecks() Config {
+	cfg := testConfig(3, 20, 20)
+	cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.DrainCloseTimeout = true, policy.HasInFlight, 100*ms
+	return cfg
+}
+
+func slowDiscovery() Config {
+	cfg := testConfig(1, 60, 1)
+	cfg.Discovery.CallTime, cfg.Discovery.QueueTimeout = 100*ms, time.Second
+	return cfg
+}
+
+func shortDeadlines() Config {
+	cfg := testConfig(4, 12, 60)
+	for i := range cfg.Policy.Classes {
+		cfg.Policy.Classes[i].LatencyObjective, cfg.Policy.Classes[i].Deadline = 60*ms, 120*ms
+	}
+	return cfg
+}
+
+func slowStart() Config {
+	cfg := testConfig(0, 100, 2)
+	cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 6, 0.1, 1.2
+	return cfg
+}
+
+// runFor runs a simulation without faults.
+func runFor(d time.Duration) func(*Simulation, func(time.Duration)) {
+	return func(_ *Simulation, run func(time.Duration)) { run(d) }
+}
+
+func replaceHalf(sim *Simulation, run func(time.Duration)) {
+	run(2 * time.Second)
+	replaceServers(sim, 20, 15*time.Second)
+	run(35 * time.Second)
+}
+
+func replaceHalfBriefly(sim *Simulation, run func(time.Duration)) {
+	run(2 * time.Second)
+	replaceServers(sim, 10, 8*time.Second)
+	run(20 * time.Second)
+}
+
+func zoneOutage(sim *Simulation, run func(time.Duration)) {
+	run(5 * time.Second)
+	sim.FailZone(sim.config.Zones - 1)
+	run(10 * time.Second)
+	sim.RestoreZone(sim.config.Zones - 1)
+	run(15 * time.Second)
+}
+
+func regionPartition(sim *Simulation, run func(time.Duration)) {
+	run(5 * time.Second)
+	sim.PartitionRegions()
+	replaceServers(sim, 6, 15*time.Second)
+	run(20 * time.Second)
+	sim.HealPartition()
+	run(20 * time.Second)
+}
+
+func discoveryOutage(sim *Simulation, run func(time.Duration)) {
+	run(3 * time.Second)
+	sim.StartDiscoveryOutage()
+	run(3 * time.Second)
+	replaceServers(sim, 6, 5*time.Second)
+	run(15 * time.Second)
+	sim.EndDiscoveryOutage()
+	run(15 * time.Second)
+}
+
+func clientDisconnects(sim *Simulation, run func(time.Duration)) {
+	for k := range 100 {
+		sim.clock.after(time.Duration(k)*30*ms, func() { disconnectOldestRequests(sim) })
+	}
+	run(5 * time.Second)
+}
+
+func serverCrashes(sim *Simulation, run func(time.Duration)) {
+	run(2 * time.Second)
+	for k := range 20 {
+		sim.clock.after(time.Duration(k)*500*ms, func() { sim.Crash(k*7%30, 2*time.Second) })
+	}
+	run(12 * time.Second)
+}
+
+func slowStartCrashes(sim *Simulation, run func(time.Duration)) {
+	run(2 * time.Second)
+	for k := range 3 {
+		sim.clock.after(time.Duration(k)*time.Second, func() { sim.Crash(2*k, 2*time.Second) })
+	}
+	run(10 * time.Second)
 }
 
 // TestGoldenCalls guards the behaviour of Balancers in a fleet against refactorings. Each digest covers every call
-// that the Balancers of a play make on their Host, except Log, in order: its time, the sidecar that made it, its
+// that the Balancers of a simulation make on their Host, except Log, in order: its time, the sidecar that made it, its
 // number and its arguments. A digest holds plain numbers only, no name of a type, field or method, so renames do
 // not change it.
 //
 // A refactoring must keep every digest: a step that changes one has changed a decision and is wrong. Only a change
 // that is meant to alter decisions may put new digests here, and its commit message has to say why.
 //
-// Each play runs a second time without the recorder and must come out the same, so the recorder itself changes
+// Each scenario runs a second time without the recorder and must come out the same, so the recorder itself changes
 // nothing.
 func TestGoldenCalls(t *testing.T) {
-	var calls [goldenCallCount]int
-	for _, p := range goldenScenarios {
-		recorded := newSimulation(t, p.config())
-		g := newGoldenRecorder(t, recorded)
-		p.act(recorded, func(d time.Duration) { g.run(t, d) })
-		if got := g.sum(); got != p.want {
-			t.Errorf("%s: the digest is %#016x, want %#016x; calls by their number %v", p.name, got, p.want, g.callCounts[1:])
-		}
-		for call, times := range g.callCounts {
-			calls[call] += times
-		}
-		plain := newSimulation(t, p.config())
-		p.act(plain, plain.Run)
-		if recorded.Digest() != plain.Digest() || recorded.Counts() != plain.Counts() {
-			t.Errorf("%s: the recorder changes the play: digest %x and %+v, without it %x and %+v", p.name,
-				recorded.Digest(), recorded.Counts(), plain.Digest(), plain.Counts())
-		}
-		if err := recorded.Err(); err != nil {
-			t.Errorf("%s: %v", p.name, err)
-		}
+	var total [goldenCallCount]int
+	scenarios, finished := goldenScenarios(), 0
+	for _, scenario := range scenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			recorded := newSimulation(t, scenario.config())
+			g := newGoldenRecorder(t, recorded)
+			scenario.run(recorded, func(d time.Duration) { g.run(t, d) })
+			if got := g.hash.Sum64(); got != scenario.wantDigest {
+				t.Errorf("the digest is %#016x, want %#016x; calls by their number %v", got, scenario.wantDigest, g.callCounts[1:])
+			}
+			for call, count := range g.callCounts {
+				total[call] += count
+			}
+			plain := newSimulation(t, scenario.config())
+			scenario.run(plain, plain.Run)
+			if recorded.Digest() != plain.Digest() || recorded.Counts() != plain.Counts() {
+				t.Errorf("the recorder changes the run: digest %x and %+v, without it %x and %+v",
+					recorded.Digest(), recorded.Counts(), plain.Digest(), plain.Counts())
+			}
+			if err := recorded.Err(); err != nil {
+				t.Error(err)
+			}
+			finished++
+		})
+	}
+	if finished < len(scenarios) {
+		return // a scenario has failed fatally, or -run has selected only some
 	}
-	for call, times := range calls {
-		if call > 0 && times == 0 {
-			t.Errorf("no play makes call %d", call)
+	for call, count := range total[1:] {
+		if count == 0 {
+			t.Errorf("no scenario makes call %d", call+1)
 		}
 	}
 }
--- a/internal/fleetsim/scale_test.go
+++ b/internal/fleetsim/scale_test.go
@@ -3,10 +3,7 @@
 import (
 	"flag"
 	"fmt"
-	"io"
-	"math"
 	"os"
-	"runtime"
 	"slices"
 	"testing"
 	"text/tabwriter"
@@ -14,25 +11,44 @@
 )
 
 var (
-	scale            = flag.Bool("scale", false, "TestScale plays the large form and prints its tables (with -v)")
-	scaleMaxSidecars = flag.Int("scale.most", 11000, "TestScale plays fleets of at most so many sidecars")
-	scaleParallel    = flag.Int("scale.at", 4, "TestScale plays so many services at once")
-	scaleForm        = flag.String("scale.form", "", "TestScale deals sidecars out to few or many services; both where it is empty")
-	scalePart        = flag.String("scale.part", "", "TestScale plays one part: sizes, busy or events, or all where it is empty")
+	scale            = flag.Bool("scale", false, "TestScale simulates large fleets and prints its tables (with -v)")
+	scaleMaxSidecars = flag.Int("scale.most", 11000, "TestScale simulates fleets of at most so many sidecars")
+	scaleParallel    = flag.Int("scale.at", 4, "TestScale simulates so many services at once")
+	scaleForm        = flag.String("scale.form", "", "TestScale divides the sidecars into few or many services; both if it is empty")
+	scalePart        = flag.String("scale.part", "", "TestScale runs one part: sizes, busy or events; all if it is empty")
 )
 
 const (
-	maxLargeServiceSize = 1100 // sidecars and servers of a service, where services are few
-	meanServiceSize     = 16.4 // where they are many: 11,000 in 670
+	maxLargeServiceSize = 1100 // sidecars of a service in a fleet of few services
+	meanServiceSize     = 16.4 // sidecars of a service in a fleet of many services: 11,000 in 670
 )
 
-// serviceSizes are how a fleet is dealt out to services.
-func serviceSizes(n int) map[string][]int {
-	return map[string][]int{"few": EvenSizes(n, maxLargeServiceSize), "many": Sizes(n, int(float64(n)/meanServiceSize))}
+// fleetForm is a way to divide a fleet into services.
+type fleetForm struct {
+	name  string
+	sizes func(sidecars int) []int // of the services, the largest first
 }
 
-// result is what came of one service, or of all.
-type result struct {
+var fleetForms = []fleetForm{
+	{"few", func(n int) []int { return EvenSizes(n, maxLargeServiceSize) }},
+	{"many", func(n int) []int { return Sizes(n, int(float64(n)/meanServiceSize)) }},
+}
+
+// selectedForms returns the forms that -scale.form selects for a fleet, none if it has more than -scale.most sidecars.
+func selectedForms(sidecars int) (forms []fleetForm) {
+	if sidecars > *scaleMaxSidecars {
+		return nil
+	}
+	for _, form := range fleetForms {
+		if *scaleForm == "" || *scaleForm == form.name {
+			forms = append(forms, form)
+		}
+	}
+	return forms
+}
+
+// fleetResult is the result of one service, or the sum over all services of a fleet.
+type fleetResult struct {
 	counts           Counts
 	violations       Violations
 	propagationTimes []time.Duration
@@ -42,227 +58,183 @@
 	err              error
 }
 
-// simulateAll plays a service of each size and adds up what came of them.
-func simulateAll(t testing.TB, sizes []int, atOnce int, rate float64, change func(*Config), act func(sim *Simulation)) result {
+// add adds the result of a service. It takes the description of the first violation only.
+func (f *fleetResult) add(service fleetResult) {
+	f.counts.Add(&service.counts)
+	for i, count := range service.violations.Counts {
+		f.violations.Counts[i] += count
+	}
+	if details := service.violations.Details; len(details) > 0 {
+		f.violations.Details = append(f.violations.Details, details[0])
+	}
+	f.propagationTimes = append(f.propagationTimes, service.propagationTimes...)
+	f.pendingChanges += service.pendingChanges
+	f.digest = f.digest*31 + service.digest
+	f.sidecars += service.sidecars
+	if f.err == nil {
+		f.err = service.err
+	}
+}
+
+// perSidecarSecond is a count over all sidecars for a time, as a rate of one sidecar.
+func (f *fleetResult) perSidecarSecond(count int64, d time.Duration) float64 {
+	return float64(count) / float64(f.sidecars) / d.Seconds()
+}
+
+// fleetRun is how to simulate each service of a fleet.
+type fleetRun struct {
+	ratePerSidecar float64       // client requests per second
+	configure      func(*Config) // changes testConfig
+	run            func(*Simulation)
+}
+
+// simulate simulates services of these sizes, at most parallel at once.
+func (r fleetRun) simulate(t testing.TB, sizes []int, parallel int) fleetResult {
 	t.Helper()
-	var all result
-	err := RunAll(sizes, atOnce, func(k, size int) (result, error) {
-		cfg := testConfig(uint64(k), size, rate)
-		change(&cfg)
-		sim, err := New(cfg)
-		if err != nil {
-			return result{}, fmt.Errorf("service %d: %w", k, err)
-		}
-		act(sim)
-		return result{sim.Counts(), sim.Violations(), sim.PropagationTimes(), sim.PendingChanges(), sim.Digest(), size, sim.Err()}, nil
-	}, func(p result) {
-		all.counts.Add(&p.counts)
-		for r, times := range p.violations.Counts {
-			all.violations.Counts[r] += times
-		}
-		all.violations.Details = append(all.violations.Details, p.violations.Details[:min(1, len(p.violations.Details))]...)
-		all.propagationTimes = append(all.propagationTimes, p.propagationTimes...)
-		all.pendingChanges += p.pendingChanges
-		all.digest = all.digest*31 + p.digest
-		all.sidecars += p.sidecars
-		if all.err == nil {
-			all.err = p.err
-		}
-	})
-	if err != nil {
+	var total fleetResult
+	if err := RunAll(sizes, parallel, r.service, total.add); err != nil {
 		t.Fatal(err)
 	}
-	if all.err != nil {
-		t.Error(all.err)
+	if total.err != nil {
+		t.Error(total.err)
+	}
+	return total
+}
+
+// service simulates one service, with its index as the seed.
+func (r fleetRun) service(index, size int) (fleetResult, error) {
+	cfg := testConfig(uint64(index), size, r.ratePerSidecar)
+	r.configure(&cfg)
+	sim, err := New(cfg)
+	if err != nil {
+		return fleetResult{}, fmt.Errorf("service %d: %w", index, err)
 	}
-	return all
+	r.run(sim)
+	return fleetResult{sim.Counts(), sim.Violations(), sim.PropagationTimes(), sim.PendingChanges(), sim.Digest(), size, sim.Err()}, nil
 }
 
-// unchanged changes nothing, and measured takes processor time.
+// unchanged configures nothing.
 func unchanged(*Config) {}
 
+// measureCPU configures a measurement of processor time.
 func measureCPU(c *Config) { c.MeasureCPU = true }
 
-// idleFleet has no client ask and no sidecar tell: what is left are the watches of the list, and the timers.
+// idleFleet configures a fleet without requests and gossip: only watches and timers remain.
 func idleFleet(c *Config) { c.MeasureCPU, c.RequestRate, c.Policy.CanGossip = true, 0, false }
 
-// warmUpThenRun plays a time that does not count and then d that does.
-func warmUpThenRun(before, d time.Duration) func(sim *Simulation) {
+// warmUpThenRun runs a warm-up that is not counted, and then d.
+func warmUpThenRun(warmUp, d time.Duration) func(*Simulation) {
 	return func(sim *Simulation) {
-		sim.Run(before)
+		sim.Run(warmUp)
 		sim.ResetCounts()
 		sim.Run(d)
 	}
 }
 
-// The small form of TestScale: the counts are the same however many services play at once, and no rule is broken.
+// checkViolations fails the test for violations.
+func checkViolations(t *testing.T, f fleetResult) {
+	t.Helper()
+	if f.violations.Total() > 0 {
+		t.Errorf("violations %v, for example %q", f.violations.Counts, f.violations.Details[:min(3, len(f.violations.Details))])
+	}
+}
+
+// The small form of TestScale: counts do not depend on how many services are simulated at once, and no invariant is
+// violated.
 func TestSmallScale(t *testing.T) {
+	steady := fleetRun{4, unchanged, warmUpThenRun(2*time.Second, 3*time.Second)}
 	for _, n := range []int{100, 300} {
-		for form, sizes := range serviceSizes(n) {
-			one := simulateAll(t, sizes, 1, 4, unchanged, warmUpThenRun(2*time.Second, 3*time.Second))
-			four := simulateAll(t, sizes, 4, 4, unchanged, warmUpThenRun(2*time.Second, 3*time.Second))
-			if one.digest != four.digest || one.counts != four.counts || one.counts.Gossip.Received.Messages == 0 {
-				t.Errorf("%d sidecars, %s services: one at a time %x %+v, four at once %x %+v", n, form,
-					one.digest, one.counts, four.digest, four.counts)
-			}
-			if one.sidecars != n || one.violations.Total() > 0 {
-				t.Errorf("%d of %d sidecars in %s services: rules broken %v: %q", one.sidecars, n, form, one.violations.Counts, one.violations.Details)
-			}
+		for _, form := range fleetForms {
+			t.Run(fmt.Sprintf("%d sidecars in %s services", n, form.name), func(t *testing.T) {
+				sizes := form.sizes(n)
+				serial, parallel := steady.simulate(t, sizes, 1), steady.simulate(t, sizes, 4)
+				if serial.digest != parallel.digest || serial.counts != parallel.counts || serial.counts.Gossip.Received.Messages == 0 {
+					t.Errorf("one at a time %x %+v, four at once %x %+v", serial.digest, serial.counts, parallel.digest, parallel.counts)
+				}
+				if serial.sidecars != n {
+					t.Errorf("%d of %d sidecars were simulated", serial.sidecars, n)
+				}
+				checkViolations(t, serial)
+			})
 		}
 	}
 }
 
-// The large form prints what is counted at size. It finds no rule broken.
+// TestScale prints tables of what large fleets cost, and checks that no invariant is violated.
 func TestScale(t *testing.T) {
 	if !*scale {
-		t.Skip("plays for minutes: -scale -v -timeout 60m")
+		t.Skip("takes minutes: -scale -v -timeout 60m")
 	}
-	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	part := func(name string, play func(*testing.T, io.Writer)) {
-		if *scalePart == "" || *scalePart == name {
-			play(t, out)
-			if err := out.Flush(); err != nil {
-				t.Error(err)
-			}
+	for _, part := range []struct {
+		name string
+		run  func(*testing.T, *table)
+	}{
+		{"sizes", scaleSizes},
+		{"busy", scaleHighRate},
+		{"events", scaleEvents},
+	} {
+		if *scalePart == "" || *scalePart == part.name {
+			out := newTable()
+			part.run(t, out)
+			out.flush(t)
 		}
 	}
-	part("sizes", scaleSizes)
-	part("busy", scaleHighRate)
-	part("events", scaleEvents)
 }
 
-// heapInUse is the heap that is in use, in bytes.
-func heapInUse() float64 {
-	var m runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc)
+// table prints aligned rows to standard output, with a header before the first.
+type table struct {
+	out       *tabwriter.Writer
+	hasHeader bool
 }
 
-// memoryPerSidecar is what each sidecar of a service holds after a while, the model around it included, in KB.
-func memoryPerSidecar(t *testing.T, size int) float64 {
-	before := heapInUse()
-	sim := newSimulation(t, testConfig(0, size, 4))
-	sim.Run(3 * time.Second)
-	after := heapInUse()
-	runtime.KeepAlive(sim)
-	return (after - before) / 1024 / float64(size)
+// cell is a value of a row and the title of its column.
+type cell struct{ title, value string }
+
+func newTable() *table {
+	return &table{out: tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)}
 }
 
-func scaleSizes(t *testing.T, out io.Writer) {
-	const rate, d = 4, 5 * time.Second
-	const quietly = 45 * time.Second // three watches
-	fmt.Fprintf(out, "\nA steady fleet: nothing is lost or replaced. Gossip, requests and processor time at %d calls a second for each sidecar\n", rate)
-	fmt.Fprintf(out, "(not 373: see the next table), for %v after 2 s; lists and quiet control with no calls and no gossip, for %v after 15 s.\n", d, quietly)
-	fmt.Fprintf(out, "Of gossip, one datagram out goes to all. CPU is wall time in Balancers and in reading what comes, with %d services at once;\n", *scaleParallel)
-	fmt.Fprintln(out, "all share one machine's caches, and taking the time adds some 0.1 us to each datagram. Memory is the heap of the largest service, the model included.")
-	fmt.Fprintln(out, "sidecars\tform\tservices\tlargest\tgossip out/s\tgossip in/s\tgossip in KB/s\tlist calls/s\tlist out B/s\tlist in B/s\trequests out+in KB/s\tCPU us/call\tcontrol % of a core\tquiet %\tmemory KB\tdiscovery turns/s\tbroken\tplayed in\t")
-	for _, n := range []int{100, 300, 1000, 3000, 11000} {
-		for _, form := range []string{"few", "many"} {
-			if n > *scaleMaxSidecars || *scaleForm != "" && *scaleForm != form {
-				continue
-			}
-			sizes := serviceSizes(n)[form]
-			kb := memoryPerSidecar(t, sizes[0])
-			begun := time.Now()
-			p := simulateAll(t, sizes, *scaleParallel, rate, measureCPU, warmUpThenRun(2*time.Second, d))
-			q := simulateAll(t, sizes, *scaleParallel, rate, idleFleet, warmUpThenRun(15*time.Second, quietly))
-			c, each := p.counts, func(n int64) float64 { return float64(n) / float64(p.sidecars) / d.Seconds() }
-			idle := func(n int64) float64 { return float64(n) / float64(p.sidecars) / quietly.Seconds() }
-			fmt.Fprintf(out, "%d\t%s\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.3f\t%.1f\t%.1f\t%.2f\t%.2f\t%.3f\t%.4f\t%.0f\t%.1f\t%d\t%v\t\n",
-				n, form, len(sizes), sizes[0], each(c.Gossip.Sent.Messages), each(c.Gossip.Received.Messages), each(c.Gossip.Received.Bytes)/1000,
-				idle(q.counts.EndpointLists.Sent.Messages), idle(q.counts.EndpointLists.Sent.Bytes), idle(q.counts.EndpointLists.Received.Bytes),
-				each(c.Attempts.Sent.Bytes+c.Attempts.Received.Bytes)/1000, float64(c.RequestCPU.Microseconds())/float64(c.BalancerRequests),
-				100*each(int64(c.ControlCPU))/1e9, 100*idle(int64(q.counts.ControlCPU))/1e9, kb,
-				float64(q.counts.Discovery.Processed)/quietly.Seconds(), p.violations.Total()+q.violations.Total(), time.Since(begun).Round(time.Second))
-			checkViolations(t, p)
-			checkViolations(t, q)
-		}
+// describe prints lines above the table.
+func (t *table) describe(lines ...string) {
+	fmt.Fprintln(t.out)
+	for _, line := range lines {
+		fmt.Fprintln(t.out, line)
 	}
 }
 
-// checkViolations fails the test for rules that were broken.
-func checkViolations(t *testing.T, p result) {
-	t.Helper()
-	if p.violations.Total() > 0 {
-		t.Errorf("rules broken %v, for one: %q", p.violations.Counts, p.violations.Details[:min(3, len(p.violations.Details))])
+// row prints a row; all rows of a table must have the same columns.
+func (t *table) row(cells ...cell) {
+	if !t.hasHeader {
+		t.hasHeader = true
+		t.print(cells, func(c cell) string { return c.title })
 	}
+	t.print(cells, func(c cell) string { return c.value })
 }
 
-func scaleHighRate(t *testing.T, out io.Writer) {
-	const rate, busy, d = 373, 4, 5 * time.Second
-	fmt.Fprintf(out, "\nProcessor time of %d sidecars at %d calls a second among others at 4, one service at a time, for %v after 2 s.\n", busy, rate, d)
-	fmt.Fprintln(out, "sidecars\tservers\tgossip in/s\tCPU us/call\tcontrol us/call\tcontrol % of a core\tall % of a core\tin time\tbroken\t")
-	for _, n := range []int{16, 100, 300, 1100, 1551} {
-		if n > *scaleMaxSidecars {
-			continue
-		}
-		cfg := testConfig(0, n, rate) // quotas as if all were so busy
-		cfg.MeasureCPU, cfg.HighRateSidecars, cfg.HighRate, cfg.RequestRate, cfg.Server.Cores = true, busy, rate, 4*float64(n-busy), 20
-		sim := newSimulation(t, cfg)
-		warmUpThenRun(2*time.Second, d)(sim)
-		c := sim.Counts()
-		us := func(d time.Duration) float64 {
-			return float64(d.Nanoseconds()) / 1000 / float64(c.HighRateBalancerRequests)
-		}
-		core := func(spent time.Duration) float64 { return 100 * spent.Seconds() / d.Seconds() / busy }
-		b := sim.Violations()
-		fmt.Fprintf(out, "%d\t%d\t%.0f\t%.1f\t%.1f\t%.2f\t%.2f\t%.3f\t%d\t\n", n, n,
-			float64(c.Gossip.Received.Messages)/float64(n)/d.Seconds(), us(c.HighRateRequestCPU), us(c.HighRateControlCPU),
-			core(c.HighRateControlCPU), core(c.HighRateControlCPU+c.HighRateRequestCPU), float64(c.WithinObjective)/float64(c.Requests), b.Total())
-		checkInvariants(t, sim)
+func (t *table) print(cells []cell, text func(cell) string) {
+	for _, c := range cells {
+		fmt.Fprint(t.out, text(c), "\t")
 	}
+	fmt.Fprintln(t.out)
 }
 
-// scaledCount is a service's part of so many of 11,000 servers. Small ones have one or none, by chance of their number.
-func scaledCount(sim *Simulation, of11000 float64) int {
-	_, chance := math.Modf(float64(sim.config.Seed) * math.Phi)
-	return int(of11000*float64(len(sim.servers))/11000 + chance)
+func (t *table) flush(tb testing.TB) {
+	tb.Helper()
+	if err := t.out.Flush(); err != nil {
+		tb.Error(err)
+	}
 }
 
-func scaleEvents(t *testing.T, out io.Writer) {
-	const rate = 0.5
-	fmt.Fprintf(out, "\nEvents at size, at %v calls a second for each sidecar. All know: until the last sidecar that can be told knows a change.\n", rate)
-	fmt.Fprintln(out, "An hour of regions apart is played in 60 s (60:1) with 50 of 11,000 replaced, a day of 1,200 of 11,000 replaced in 72 s (1200:1);\ntimes of the program are not scaled. A replaced server is three changes; discovery takes 0.1 ms a call and 2 us a line, each service's by itself.")
-	fmt.Fprintln(out, "event\tsidecars\tform\tchanges\tall know, median\tlongest\tunknown\tlist lines/sidecar\tlist KB/sidecar\tdiscovery turns\tturns' longest wait\tlargest's work s\tfailed calls\tasked\tin time\tbroken\tplayed in\t")
-	for _, e := range []struct {
-		name string
-		play func(sim *Simulation)
-	}{
-		{"zone lost, 8 s", func(sim *Simulation) { failLastZone(sim, 3*time.Second, 8*time.Second, 15*time.Second) }},
-		{"regions apart, 60 s", func(sim *Simulation) { partitionRegions(sim, scaledCount(sim, 50), time.Minute) }},
-		{"replaced, 72 s", func(sim *Simulation) {
-			sim.Run(2 * time.Second)
-			replaceServers(sim, scaledCount(sim, 1200), 72*time.Second)
-			sim.Run(90 * time.Second)
-		}},
-	} {
-		for _, n := range []int{100, 1100, 11000} {
-			for _, form := range []string{"few", "many"} {
-				if n > *scaleMaxSidecars || *scaleForm != "" && *scaleForm != form {
-					continue
-				}
-				sizes := serviceSizes(n)[form]
-				begun := time.Now()
-				var largest time.Duration
-				p := simulateAll(t, sizes, *scaleParallel, rate, unchanged, func(sim *Simulation) {
-					e.play(sim)
-					if len(sim.servers) == sizes[0] && sim.config.Seed == 0 {
-						largest = sim.Counts().Discovery.ProcessingTime
-					}
-				})
-				c, median := p.counts, time.Duration(0)
-				if len(p.propagationTimes) > 0 {
-					slices.Sort(p.propagationTimes)
-					median = p.propagationTimes[len(p.propagationTimes)/2]
-				}
-				each := func(n int64) float64 { return float64(n) / float64(p.sidecars) }
-				fmt.Fprintf(out, "%s\t%d\t%s\t%d\t%v\t%v\t%d\t%.0f\t%.1f\t%d\t%v\t%.2f\t%d\t%d\t%.3f\t%d\t%v\t\n",
-					e.name, n, form, c.Discovery.Changes, median.Round(ms), maxDuration(p.propagationTimes).Round(ms), p.pendingChanges, each(c.EntriesRead),
-					each(c.EndpointLists.Received.Bytes)/1000, c.Discovery.Processed, c.Discovery.MaxQueueWait.Round(ms), largest.Seconds(), c.Discovery.TimedOut,
-					c.Requests, float64(c.WithinObjective)/float64(c.Requests), p.violations.Total(), time.Since(begun).Round(time.Second))
-				checkViolations(t, p)
-			}
-		}
+// count and float format a value for a cell.
+func count[T int | int64](n T) string { return fmt.Sprint(n) }
+
+func float(digits int, x float64) string { return fmt.Sprintf("%.*f", digits, x) }
+
+// median is the median of durations, and 0 if there is none.
+func median(durations []time.Duration) time.Duration {
+	if len(durations) == 0 {
+		return 0
 	}
+	sorted := slices.Sorted(slices.Values(durations))
+	return sorted[len(sorted)/2]
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,19 +10,20 @@
 
 const ms = time.Millisecond
 
-// fleetConfig is like the settings of the days at size: sidecars of very different traffic, rate requests a second
-// together, and servers of one core in two zones, where calls take no time and a list never changes.
+// fleetConfig is a fleet with the Balancer settings of internal/fleetsim's own tests, rate requests per second over all
+// sidecars, and servers of one core in two zones. Attempts have no network delay and the endpoint list never changes.
 func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleetsim.Config {
 	class := func(priorityWeight float64, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: priorityWeight, Idempotency: idempotency, DedupWindow: 6 * time.Second}
 	}
 	return fleetsim.Config{
-		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, RequestRate: rate, ClassMix: []float64{0.63, 0.37},
-		EndpointID: func(i int) policy.EndpointID { return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)) }, // zones evenly mixed
+		Seed: seed, Sidecars: sidecars, Servers: servers, Zones: 2, Regions: 1, RequestRate: rate,
+		ClassMix:   []float64{lowPriority: 0.63, highPriority: 0.37},
+		EndpointID: spreadEndpointID,
 		Server:     fleetsim.ServerConfig{Cores: 1, ServiceTime: 27 * ms, OverloadQueue: 5, OverloadDelay: 500 * ms, RecoveryIdleTime: 800 * ms},
 		Network:    fleetsim.NetworkConfig{DatagramMinDelay: 3 * ms, DatagramJitter: 20 * ms, DatagramLoss: 0.05},
 		Policy: policy.Config{
-			Classes:     []policy.Class{class(1, policy.Idempotent), class(8, policy.IdempotentByKey)},
+			Classes:     []policy.Class{lowPriority: class(1, policy.Idempotent), highPriority: class(8, policy.IdempotentByKey)},
 			Tenants:     []policy.Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
 			MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
 			PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
@@ -30,7 +31,19 @@
 	}
 }
 
-// runSimulation plays a service for warm and then for d, counts anew in that, and finds no rule broken.
+// The classes of fleetConfig.
+const (
+	lowPriority = iota
+	highPriority
+)
+
+// spreadEndpointID gives consecutive servers, which are in different zones, ids evenly spread over all ids.
+func spreadEndpointID(server int) policy.EndpointID {
+	return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(server+1))
+}
+
+// runSimulation runs a simulation for a warm-up and then for d, which alone is counted. It fails the test for
+// invariant violations.
 func runSimulation(t *testing.T, cfg fleetsim.Config, warmUp, d time.Duration) *fleetsim.Simulation {
 	t.Helper()
 	sim, err := fleetsim.New(cfg)
@@ -41,47 +54,50 @@
 	sim.ResetCounts()
 	sim.Run(d)
 	if violations := sim.Violations(); violations.Total() > 0 {
-		t.Errorf("rules broken %v: %q", violations.Counts, violations.Details)
+		t.Errorf("violations %v: %q", violations.Counts, violations.Details)
 	}
 	return sim
 }
 
-// Guards against walls that hold for each sidecar alone: 80 of them with a few slots each piled up more
-// on every server than it can work on, and the servers choked.
+// overloadRate is about 1.5 times what 60 servers of fleetConfig can execute, in requests per second.
+const overloadRate = 2700
+
+// Each of 80 sidecars limits its own requests in flight at a server. If the limits did not account for the other
+// sidecars, a few requests of each would add up to more than a server can execute, and overload it.
 func TestFleetDoesNotOverloadServers(t *testing.T) {
-	sim := runSimulation(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second) // half as much again as 60 servers can do
+	sim := runSimulation(t, fleetConfig(1, 80, 60, overloadRate), 4*time.Second, 6*time.Second)
 	if sim.MeanInFlight() > 3.5 {
-		t.Errorf("a server held %.1f requests on average, want at most 3.5 of the 6 at which they choke", sim.MeanInFlight())
+		t.Errorf("a server had %.1f requests in flight on average, want at most 3.5 of the 6 that overload it", sim.MeanInFlight())
 	}
 }
 
-// Guards against shedding by chance of arrival: what little a fleet short of servers can do must go to the
-// worthiest first.
+// A fleet with too few servers has to shed requests. If it shed them by the order of their arrival, requests of high
+// priority would be lost while others are served.
 func TestFleetShedsLowPriorityFirst(t *testing.T) {
-	sim := runSimulation(t, fleetConfig(1, 80, 60, 2700), 4*time.Second, 6*time.Second)
-	part := func(class int) float64 {
+	sim := runSimulation(t, fleetConfig(1, 80, 60, overloadRate), 4*time.Second, 6*time.Second)
+	goodput := func(class int) float64 {
 		return float64(sim.Class(class).WithinObjective) / float64(sim.Class(class).Requests)
 	}
-	little, much := part(0), part(1)
-	if much < 0.65 || little < 0.1 {
-		t.Errorf("%.2f of the worthy and %.2f of the others answered in time, want at least 0.65 and 0.1", much, little)
+	low, high := goodput(lowPriority), goodput(highPriority)
+	if high < 0.65 || low < 0.1 {
+		t.Errorf("goodput of high priority %.2f and of low priority %.2f, want at least 0.65 and 0.1", high, low)
 	}
 }
 
-// Guards against 80 sidecars that each learn too late, and from chance, how crowded servers are: told by one
-// another they refuse less while there is room, and more of the worthy are answered when there is not.
+// Each of 80 sidecars sees few responses, and so learns late how congested the servers are. With gossip it learns from
+// all: it sheds less while servers have capacity, and serves more requests of high priority when they have not.
 func TestGossipRaisesGoodput(t *testing.T) {
-	good := func(rate float64, tell bool) (sum float64) {
+	goodput := func(rate float64, gossip bool) (mean float64) {
 		for seed := range uint64(4) {
 			cfg := fleetConfig(seed, 80, 60, rate)
-			cfg.Policy.CanGossip = tell
-			sum += runSimulation(t, cfg, 3*time.Second, 4*time.Second).Goodput() / 4
+			cfg.Policy.CanGossip = gossip
+			mean += runSimulation(t, cfg, 3*time.Second, 4*time.Second).Goodput() / 4
 		}
-		return sum
+		return mean
 	}
 	for _, rate := range []float64{1600, 2200} {
-		if alone, told := good(rate, false), good(rate, true); told < alone+0.01 {
-			t.Errorf("%v requests a second: %.3f of the worth served where they tell, %.3f where not", rate, told, alone)
+		if without, with := goodput(rate, false), goodput(rate, true); with < without+0.01 {
+			t.Errorf("%v requests a second: goodput %.3f with gossip, %.3f without", rate, with, without)
 		}
 	}
 }
