--- a/internal/sidecarbench/load.go
+++ b/internal/sidecarbench/load.go
@@ -18,80 +18,80 @@
 
 // What a histogram tells apart: times in nanoseconds from the least to the most, to three figures.
 const (
-	leastTime   = int64(100 * time.Nanosecond)
-	mostTime    = int64(time.Minute)
-	timeFigures = 3
+	minLatency    = int64(100 * time.Nanosecond)
+	maxLatency    = int64(time.Minute)
+	latencyDigits = 3
 )
 
-// bodySize is the length in bytes of a stand-in server's answer. A caller takes any other for a wrong answer.
-const bodySize = 512
+// responseBodyBytes is the length in bytes of a stand-in server's answer. A caller takes any other for a wrong answer.
+const responseBodyBytes = 512
 
 // Load is calls at a fixed schedule, whatever becomes of them: call number i is due i/Rate after the start. Each
 // counts from the moment when it was due, so that calls held up behind a slow one show how long they waited
 // (no coordinated omission).
 type Load struct {
-	Targets []string // addresses that take turns
-	Rate    float64  // calls a second
-	Calls   int
-	Open    int           // calls under way at most; those that fall due beyond it wait, which counts
-	Limit   time.Duration // after which a call is given up
-	Name    string        // begins the id of every call; an id must not come twice at one time
+	Targets     []string // addresses that take turns
+	Rate        float64  // calls a second
+	Requests    int
+	MaxInFlight int           // calls under way at most; those that fall due beyond it wait, which counts
+	Timeout     time.Duration // after which a call is given up
+	IDPrefix    string        // begins the id of every call; an id must not come twice at one time
 }
 
 // LoadResult is what became of a Load.
 type LoadResult struct {
-	Calls   int // that were sent
-	OK      int // answered 200 with a whole body
-	Wrong   int // other answers
-	Failed  int // no answer
-	First   string
-	Took    time.Duration          // processor time of the process that made them
-	Latency *hdrhistogram.Snapshot // ns from when a call was due until its whole answer was read
-	Late    *hdrhistogram.Snapshot // ns from when a call was due until it was begun: the generator's own doing
+	Requests       int // that were sent
+	OK             int // answered 200 with a whole body
+	WrongResponses int // other answers
+	Failed         int // no answer
+	FirstError     string
+	CPU            time.Duration          // processor time of the process that made them
+	Latency        *hdrhistogram.Snapshot // ns from when a call was due until its whole answer was read
+	ScheduleDelay  *hdrhistogram.Snapshot // ns from when a call was due until it was begun: the generator's own doing
 }
 
-// due is a call that has fallen due.
-type due struct {
-	number int
-	at     time.Time
+// scheduledRequest is a call that has fallen due.
+type scheduledRequest struct {
+	number      int
+	scheduledAt time.Time
 }
 
-// tally collects what the callers see.
-type tally struct {
-	ok, wrong, failed atomic.Int64
+// loadStats collects what the callers see.
+type loadStats struct {
+	ok, wrongResponses, failed atomic.Int64
 
-	mu            sync.Mutex
-	first         error // that went wrong
-	latency, late *hdrhistogram.Histogram
+	mu                     sync.Mutex
+	firstError             error // that went wrong
+	latency, scheduleDelay *hdrhistogram.Histogram
 }
 
 // Run makes the calls with a client that keeps its connections, and returns when all have ended. It fails where the
 // load can't be made, not where calls go wrong.
 func (l Load) Run(ctx context.Context, client *http.Client) (LoadResult, error) {
-	if len(l.Targets) == 0 || l.Rate <= 0 || l.Calls <= 0 || l.Open <= 0 || l.Limit <= 0 {
+	if len(l.Targets) == 0 || l.Rate <= 0 || l.Requests <= 0 || l.MaxInFlight <= 0 || l.Timeout <= 0 {
 		return LoadResult{}, fmt.Errorf("load %+v: all of it must be given", l)
 	}
-	t := &tally{
-		latency: hdrhistogram.New(leastTime, mostTime, timeFigures),
-		late:    hdrhistogram.New(leastTime, mostTime, timeFigures),
+	t := &loadStats{
+		latency:       hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+		scheduleDelay: hdrhistogram.New(minLatency, maxLatency, latencyDigits),
 	}
-	calls := make(chan due) // no room: what is due is kept back until a caller is free
+	calls := make(chan scheduledRequest) // no room: what is due is kept back until a caller is free
 	var callers sync.WaitGroup
-	for range l.Open {
+	for range l.MaxInFlight {
 		callers.Go(func() {
 			for d := range calls {
 				begun := time.Now()
-				err := l.call(ctx, client, d.number)
-				t.take(d.at, begun, time.Now(), err)
+				err := l.send(ctx, client, d.number)
+				t.record(d.scheduledAt, begun, time.Now(), err)
 			}
 		})
 	}
 	sent := 0
-	err := pace(ctx, l.Calls, func(i int) time.Duration {
+	err := runSchedule(ctx, l.Requests, func(i int) time.Duration {
 		return time.Duration(float64(i) / l.Rate * float64(time.Second))
 	}, func(i int, at time.Time) error {
 		select {
-		case calls <- due{i, at}:
+		case calls <- scheduledRequest{i, at}:
 			sent++
 			return nil
 		case <-ctx.Done():
@@ -103,31 +103,31 @@
 	if err != nil {
 		return LoadResult{}, fmt.Errorf("load: %w", err)
 	}
-	r := LoadResult{Calls: sent, OK: int(t.ok.Load()), Wrong: int(t.wrong.Load()), Failed: int(t.failed.Load()),
-		Latency: t.latency.Export(), Late: t.late.Export()}
-	if t.first != nil {
-		r.First = t.first.Error()
+	r := LoadResult{Requests: sent, OK: int(t.ok.Load()), WrongResponses: int(t.wrongResponses.Load()), Failed: int(t.failed.Load()),
+		Latency: t.latency.Export(), ScheduleDelay: t.scheduleDelay.Export()}
+	if t.firstError != nil {
+		r.FirstError = t.firstError.Error()
 	}
 	return r, nil
 }
 
-// errWrong is an answer that came, but not the one that was wanted.
-var errWrong = errors.New("a wrong answer")
+// errWrongResponse is an answer that came, but not the one that was wanted.
+var errWrongResponse = errors.New("a wrong answer")
 
-// call makes one call, in the form that the program takes; a stand-in server takes the same.
-func (l Load) call(ctx context.Context, client *http.Client, number int) error {
-	ctx, cancel := context.WithTimeout(ctx, l.Limit)
+// send makes one call, in the form that the program takes; a stand-in server takes the same.
+func (l Load) send(ctx context.Context, client *http.Client, number int) error {
+	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
 	target := l.Targets[number%len(l.Targets)]
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+target+"/"+class+"/tile", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+target+"/"+className+"/tile", nil)
 	if err != nil {
 		return err
 	}
 	req.Header = http.Header{
-		"X-Request-Id":     {l.Name + "-" + strconv.Itoa(number)},
-		"X-Priority-Class": {class},
-		"X-Tenant-Id":      {tenant},
-		"X-Timeout":        {strconv.FormatInt(l.Limit.Milliseconds(), 10) + "m"},
+		"X-Request-Id":     {l.IDPrefix + "-" + strconv.Itoa(number)},
+		"X-Priority-Class": {className},
+		"X-Tenant-Id":      {tenantName},
+		"X-Timeout":        {strconv.FormatInt(l.Timeout.Milliseconds(), 10) + "m"},
 	}
 	res, err := client.Do(req)
 	if err != nil {
@@ -138,38 +138,38 @@
 	switch {
 	case err != nil:
 		return err
-	case res.StatusCode != http.StatusOK || n != bodySize:
-		return fmt.Errorf("%w: %s with %d bytes", errWrong, res.Status, n)
+	case res.StatusCode != http.StatusOK || n != responseBodyBytes:
+		return fmt.Errorf("%w: %s with %d bytes", errWrongResponse, res.Status, n)
 	}
 	return nil
 }
 
-// take enters one call that was due, begun and over at these times.
-func (t *tally) take(due, begun, over time.Time, err error) {
+// record enters one call that was due, begun and over at these times.
+func (t *loadStats) record(due, begun, over time.Time, err error) {
 	switch {
 	case err == nil:
 		t.ok.Add(1)
-	case errors.Is(err, errWrong):
-		t.wrong.Add(1)
+	case errors.Is(err, errWrongResponse):
+		t.wrongResponses.Add(1)
 	default:
 		t.failed.Add(1)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if err != nil && t.first == nil {
-		t.first = err
+	if err != nil && t.firstError == nil {
+		t.firstError = err
 	}
 	// Within the range nothing can go wrong here.
-	_ = t.latency.RecordValue(min(max(int64(over.Sub(due)), leastTime), mostTime))
-	_ = t.late.RecordValue(min(max(int64(begun.Sub(due)), leastTime), mostTime))
+	_ = t.latency.RecordValue(min(max(int64(over.Sub(due)), minLatency), maxLatency))
+	_ = t.scheduleDelay.RecordValue(min(max(int64(begun.Sub(due)), minLatency), maxLatency))
 }
 
-// pace calls send for 0 to n-1, each no sooner than at its time after the start, and one after the other: a send that
+// runSchedule calls send for 0 to n-1, each no sooner than at its time after the start, and one after the other: a send that
 // takes long delays the next, but not the time that it is told as due. It ends early with ctx or send's error.
 //
 // It has a thread of its own that sleeps in the kernel: the runtime's timers round up to a millisecond where
 // nothing else goes on, which is more than what is measured.
-func pace(ctx context.Context, n int, at func(i int) time.Duration, send func(i int, due time.Time) error) error {
+func runSchedule(ctx context.Context, n int, at func(i int) time.Duration, send func(i int, due time.Time) error) error {
 	ended := make(chan error, 1)
 	go func() {
 		runtime.LockOSThread() // for good: the thread ends with this goroutine, and its timer slack with it
--- a/internal/sidecarbench/process.go
+++ b/internal/sidecarbench/process.go
@@ -41,8 +41,8 @@
 	Peak     int64 // the most so far (VmHWM)
 }
 
-// memory reads /proc/PID/status.
-func memory(pid int) (Memory, error) {
+// readMemory reads /proc/PID/status.
+func readMemory(pid int) (Memory, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return Memory{}, fmt.Errorf("memory: %w", err)
@@ -63,9 +63,9 @@
 	return m, nil
 }
 
-// socketState tells what becomes of datagrams to an address that a process listens at: how many the kernel has dropped
+// udpSocketState tells what becomes of datagrams to an address that a process listens at: how many the kernel has dropped
 // as its buffer was full, and how many bytes it has not read yet. It reads /proc/net/udp.
-func socketState(address string) (drops, waiting int64, err error) {
+func udpSocketState(address string) (drops, waiting int64, err error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return 0, 0, fmt.Errorf("socket: %w", err)
@@ -94,16 +94,16 @@
 	return 0, 0, fmt.Errorf("socket %s: nobody listens", address)
 }
 
-// part is a process that plays a part.
-type part struct {
-	role   string
-	cmd    *exec.Cmd
-	orders io.Closer // its standard input: it ends with that
-	at     whereabouts
+// standIn is a process that plays a part.
+type standIn struct {
+	role      string
+	cmd       *exec.Cmd
+	stdin     io.Closer // its standard input: it ends with that
+	addresses standInAddresses
 }
 
-// startPart starts a part and returns once it listens. It ends with ctx at the latest.
-func startPart(ctx context.Context, self, role string, o orders) (*part, error) {
+// startStandIn starts a part and returns once it listens. It ends with ctx at the latest.
+func startStandIn(ctx context.Context, self, role string, o standInConfig) (*standIn, error) {
 	cmd := exec.CommandContext(ctx, self)
 	cmd.Env = append(os.Environ(), RoleVariable+"="+role)
 	cmd.Stderr = os.Stderr
@@ -118,27 +118,27 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", role, err)
 	}
-	p := &part{role: role, cmd: cmd, orders: in}
+	p := &standIn{role: role, cmd: cmd, stdin: in}
 	if err := json.NewEncoder(in).Encode(o); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: orders: %w", role, err), p.stop())
 	}
-	if err := json.NewDecoder(out).Decode(&p.at); err != nil {
+	if err := json.NewDecoder(out).Decode(&p.addresses); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: whereabouts: %w", role, err), p.stop())
 	}
 	return p, nil
 }
 
 // stop ends the part.
-func (p *part) stop() error {
-	_ = p.orders.Close() // fails only if it is closed already
+func (p *standIn) stop() error {
+	_ = p.stdin.Close() // fails only if it is closed already
 	if err := p.cmd.Wait(); err != nil {
 		return fmt.Errorf("%s: %w", p.role, err)
 	}
 	return nil
 }
 
-// ask puts a question to the part's control side: a GET, or a POST where there is something to say.
-func (p *part) ask(ctx context.Context, path string, say, answer any) error {
+// call puts a question to the part's control side: a GET, or a POST where there is something to say.
+func (p *standIn) call(ctx context.Context, path string, say, answer any) error {
 	method, body := http.MethodGet, io.Reader(nil)
 	if say != nil {
 		raw, err := json.Marshal(say)
@@ -147,7 +147,7 @@
 		}
 		method, body = http.MethodPost, bytes.NewReader(raw)
 	}
-	raw, err := fetch(ctx, method, "http://"+p.at.Control+path, body)
+	raw, err := fetch(ctx, method, "http://"+p.addresses.Control+path, body)
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", p.role, path, err)
 	}
@@ -158,8 +158,8 @@
 }
 
 // counts are what the part has seen so far.
-func (p *part) counts(ctx context.Context) (c Counts, err error) {
-	err = p.ask(ctx, "/counts", nil, &c)
+func (p *standIn) counts(ctx context.Context) (c Counts, err error) {
+	err = p.call(ctx, "/counts", nil, &c)
 	return c, err
 }
 
@@ -182,23 +182,23 @@
 	return raw, err
 }
 
-// sidecar is a process of the real program.
-type sidecar struct {
-	cmd     *exec.Cmd
-	address string // where the application connects
-	logged  chan struct{}
-	heard   atomic.Int64 // datagrams taken, as its log last said, which it does every 10 s
-	noted   atomic.Int64 // lines of its log that warn
+// sidecarProcess is a process of the real program.
+type sidecarProcess struct {
+	cmd            *exec.Cmd
+	address        string // where the application connects
+	logClosed      chan struct{}
+	gossipReceived atomic.Int64 // datagrams taken, as its log last said, which it does every 10 s
+	warnings       atomic.Int64 // lines of its log that warn
 }
 
 var (
-	listenField = regexp.MustCompile(` INFO serving .*listen=(\S+)`)
-	heardField  = regexp.MustCompile(` peers="map\[.*heard:(\d+)`)
-	warnField   = regexp.MustCompile(`^\S+ \S+ (WARN|ERROR) `)
+	listenField         = regexp.MustCompile(` INFO serving .*listen=(\S+)`)
+	gossipReceivedField = regexp.MustCompile(` peers="map\[.*heard:(\d+)`)
+	warnField           = regexp.MustCompile(`^\S+ \S+ (WARN|ERROR) `)
 )
 
 // startSidecar starts the program and returns once GET /up is answered 200.
-func startSidecar(ctx context.Context, program, configPath string) (*sidecar, error) {
+func startSidecar(ctx context.Context, program, configPath string) (*sidecarProcess, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+configPath)
 	log, err := cmd.StderrPipe()
@@ -208,12 +208,12 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("sidecar: %w", err)
 	}
-	s := &sidecar{cmd: cmd, logged: make(chan struct{})}
+	s := &sidecarProcess{cmd: cmd, logClosed: make(chan struct{})}
 	listens := make(chan string, 1)
 	go s.follow(log, listens)
 	select {
 	case s.address = <-listens:
-	case <-s.logged:
+	case <-s.logClosed:
 		return nil, fmt.Errorf("sidecar: it ended before it served: %w", cmd.Wait())
 	}
 	if _, err := fetch(ctx, http.MethodGet, "http://"+s.address+"/up", nil); err != nil {
@@ -223,8 +223,8 @@
 }
 
 // follow reads the log until the program ends.
-func (s *sidecar) follow(log io.Reader, listens chan<- string) {
-	defer close(s.logged)
+func (s *sidecarProcess) follow(log io.Reader, listens chan<- string) {
+	defer close(s.logClosed)
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
 		line := lines.Text()
@@ -234,26 +234,26 @@
 			default:
 			}
 		}
-		if m := heardField.FindStringSubmatch(line); m != nil {
+		if m := gossipReceivedField.FindStringSubmatch(line); m != nil {
 			n, _ := strconv.ParseInt(m[1], 10, 64) // digits
-			s.heard.Store(n)
+			s.gossipReceived.Store(n)
 		}
 		if warnField.MatchString(line) {
-			s.noted.Add(1)
+			s.warnings.Add(1)
 		}
 	}
 }
 
 // stop has the sidecar end in order. Whoever has connections to it closes them first, or it waits for that.
-func (s *sidecar) stop() error {
+func (s *sidecarProcess) stop() error {
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("sidecar: stop: %w", err)
 	}
-	<-s.logged
+	<-s.logClosed
 	if err := s.cmd.Wait(); err != nil {
 		return fmt.Errorf("sidecar: %w", err)
 	}
 	return nil
 }
 
-func (s *sidecar) pid() int { return s.cmd.Process.Pid }
+func (s *sidecarProcess) pid() int { return s.cmd.Process.Pid }
--- a/internal/sidecarbench/sidecarbench.go
+++ b/internal/sidecarbench/sidecarbench.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	serverAddresses = 16  // that all listed servers share
-	mostSenders     = 500 // peers that have a socket: the rest are only listed
-	openMost        = 64  // calls under way at most
+	serverAddressCount = 16  // that all listed servers share
+	maxSenders         = 500 // peers that have a socket: the rest are only listed
+	maxInFlight        = 64  // calls under way at most
 )
 
-// Setup has what all measurements need.
-type Setup struct {
-	Program string // the path of the sidecar's program
-	Self    string // the path of a program that plays parts
-	Dir     string // for configurations; it is the caller's to remove
-	Aim     time.Duration
+// Bench has what all measurements need.
+type Bench struct {
+	Program          string // the path of the sidecar's program
+	StandIn          string // the path of a program that plays parts
+	Dir              string // for configurations; it is the caller's to remove
+	LatencyObjective time.Duration
 }
 
-// rig is a sidecar with its surroundings.
-type rig struct {
-	size                     Size
-	aim                      time.Duration
+// testbed is a sidecar with its surroundings.
+type testbed struct {
+	size                     FleetSize
+	latencyObjective         time.Duration
 	senders                  int
-	peerListen               string
-	server, discovery, peers *part
-	sidecar                  *sidecar
-	start                    Start
+	gossipAddress            string
+	server, discovery, peers *standIn
+	sidecar                  *sidecarProcess
+	startCost                StartCost
 }
 
-// Start is what a sidecar took to start.
-type Start struct {
-	Size
+// StartCost is what a sidecar took to start.
+type StartCost struct {
+	FleetSize
 	ConfigBytes int
-	Ready       time.Duration // processor time until GET /up was answered 200
-	Followed    time.Duration // and until it held a watch of the list, with the whole list taken
-	AtReady     Memory
-	AtFollowed  Memory
+	ReadyCPU    time.Duration // processor time until GET /up was answered 200
+	WatchCPU    time.Duration // and until it held a watch of the list, with the whole list taken
+	ReadyMemory Memory
+	WatchMemory Memory
 	ListBytes   int64 // that discovery sent until then
 }
 
@@ -70,37 +70,37 @@
 	return c.LocalAddr().String(), c.Close()
 }
 
-// set starts a sidecar of that size and waits until it has taken its list. Its senders are at most so many of its
+// newTestbed starts a sidecar of that size and waits until it has taken its list. Its senders are at most so many of its
 // peers that have sockets to tell from; its servers take service over a call.
-func (b *Setup) set(ctx context.Context, z Size, senders int, service time.Duration) (r *rig, err error) {
-	r = &rig{size: z, aim: b.Aim, senders: max(0, min(senders, z.Peers-1))}
+func (b *Bench) newTestbed(ctx context.Context, z FleetSize, senders int, service time.Duration) (r *testbed, err error) {
+	r = &testbed{size: z, latencyObjective: b.LatencyObjective, senders: max(0, min(senders, z.Peers-1))}
 	defer func() {
 		if err != nil {
-			err = errors.Join(fmt.Errorf("%d peers, %d servers: %w", z.Peers, z.Servers, err), r.end())
+			err = errors.Join(fmt.Errorf("%d peers, %d servers: %w", z.Peers, z.Servers, err), r.close())
 		}
 	}()
-	o := orders{Service: service}
-	for i := range serverAddresses {
+	o := standInConfig{ServiceTime: service}
+	for i := range serverAddressCount {
 		o.Addresses = append(o.Addresses, fmt.Sprintf("127.0.1.%d:0", i+1))
 	}
-	if r.server, err = startPart(ctx, b.Self, roleServer, o); err != nil {
+	if r.server, err = startStandIn(ctx, b.StandIn, roleServer, o); err != nil {
 		return r, err
 	}
-	if r.discovery, err = startPart(ctx, b.Self, roleDiscovery, orders{Servers: z.Servers, At: r.server.at.Serves}); err != nil {
+	if r.discovery, err = startStandIn(ctx, b.StandIn, roleDiscovery, standInConfig{Servers: z.Servers, ServerAddresses: r.server.addresses.Service}); err != nil {
 		return r, err
 	}
-	o = orders{}
+	o = standInConfig{}
 	for range r.senders {
 		o.Addresses = append(o.Addresses, "127.0.0.1:0")
 	}
-	if r.peers, err = startPart(ctx, b.Self, rolePeers, o); err != nil {
+	if r.peers, err = startStandIn(ctx, b.StandIn, rolePeers, o); err != nil {
 		return r, err
 	}
-	if r.peerListen, err = freeAddress(); err != nil {
+	if r.gossipAddress, err = freeAddress(); err != nil {
 		return r, err
 	}
-	raw, err := config(z, place{peerListen: r.peerListen, peersAll: r.peers.at.Serves[0], senders: r.peers.at.Serves[1:],
-		discovery: r.discovery.at.Serves[0], servers: r.server.at.Serves, aimMS: b.Aim.Seconds() * 1000})
+	raw, err := sidecarConfig(z, environment{gossipAddress: r.gossipAddress, broadcastAddress: r.peers.addresses.Service[0], peerAddresses: r.peers.addresses.Service[1:],
+		discoveryAddress: r.discovery.addresses.Service[0], serverAddresses: r.server.addresses.Service, latencyObjectiveMS: b.LatencyObjective.Seconds() * 1000})
 	if err != nil {
 		return r, err
 	}
@@ -119,17 +119,17 @@
 	if r.sidecar, err = startSidecar(ctx, b.Program, path); err != nil {
 		return r, err
 	}
-	r.start = Start{Size: z, ConfigBytes: len(raw)}
-	if r.start.Ready, r.start.AtReady, err = r.used(); err != nil {
+	r.startCost = StartCost{FleetSize: z, ConfigBytes: len(raw)}
+	if r.startCost.ReadyCPU, r.startCost.ReadyMemory, err = r.sidecarUsage(); err != nil {
 		return r, err
 	}
 	var seen Counts
-	if err = r.discovery.ask(ctx, "/followed", nil, &seen); err != nil {
+	if err = r.discovery.call(ctx, "/followed", nil, &seen); err != nil {
 		return r, err
 	}
-	r.start.ListBytes = seen.Out
+	r.startCost.ListBytes = seen.BytesSent
 	// It watches, so the list is among the events of its loop; a call after it is answered once it is taken.
-	one := Load{Targets: []string{r.sidecar.address}, Rate: 1000, Calls: 1, Open: 1, Limit: b.Aim, Name: "first"}
+	one := Load{Targets: []string{r.sidecar.address}, Rate: 1000, Requests: 1, MaxInFlight: 1, Timeout: b.LatencyObjective, IDPrefix: "first"}
 	client := newClient(1)
 	defer client.CloseIdleConnections()
 	result, err := one.Run(ctx, client)
@@ -137,28 +137,28 @@
 		return r, err
 	}
 	if result.OK != 1 {
-		return r, fmt.Errorf("the first call: %s", result.First)
+		return r, fmt.Errorf("the first call: %s", result.FirstError)
 	}
-	r.start.Followed, r.start.AtFollowed, err = r.used()
+	r.startCost.WatchCPU, r.startCost.WatchMemory, err = r.sidecarUsage()
 	return r, err
 }
 
-// used is the processor time that the sidecar has taken, and its memory.
-func (r *rig) used() (time.Duration, Memory, error) {
+// sidecarUsage is the processor time that the sidecar has taken, and its memory.
+func (r *testbed) sidecarUsage() (time.Duration, Memory, error) {
 	t, err := cpuTime(r.sidecar.pid())
 	if err != nil {
 		return 0, Memory{}, err
 	}
-	m, err := memory(r.sidecar.pid())
+	m, err := readMemory(r.sidecar.pid())
 	return t, m, err
 }
 
-// end stops everything that runs.
-func (r *rig) end() (err error) {
+// close stops everything that runs.
+func (r *testbed) close() (err error) {
 	if r.sidecar != nil {
 		err = r.sidecar.stop()
 	}
-	for _, p := range []*part{r.server, r.discovery, r.peers} {
+	for _, p := range []*standIn{r.server, r.discovery, r.peers} {
 		if p != nil {
 			err = errors.Join(err, p.stop())
 		}
@@ -168,43 +168,43 @@
 
 // Block is a while of calls of one kind.
 type Block struct {
-	Result          LoadResult
-	Sidecar, Server time.Duration // processor time that each took meanwhile; the load's is in Result
-	Connections     int64         // that the servers accepted meanwhile
+	Result                LoadResult
+	SidecarCPU, ServerCPU time.Duration // processor time that each took meanwhile; the load's is in Result
+	Connections           int64         // that the servers accepted meanwhile
 }
 
-// Calls is what calls cost, direct and through a sidecar, in pairs of blocks with the same schedule.
-type Calls struct {
-	Size
-	Rate            float64
-	Direct, Through []Block
-	User, System    time.Duration // of the sidecar's process, over its whole life (rusage)
-	Served          int64         // calls that the servers have counted, the first ones included
-	Sent            int64         // calls that were made, these included
-	Warnings        int64         // in the sidecar's log
-	After           Memory        // of the sidecar, after all blocks
+// RequestCost is what calls cost, direct and through a sidecar, in pairs of blocks with the same schedule.
+type RequestCost struct {
+	FleetSize
+	Rate               float64
+	Direct, Proxied    []Block
+	UserCPU, SystemCPU time.Duration // of the sidecar's process, over its whole life (rusage)
+	Served             int64         // calls that the servers have counted, the first ones included
+	Sent               int64         // calls that were made, these included
+	Warnings           int64         // in the sidecar's log
+	Memory             Memory        // of the sidecar, after all blocks
 }
 
-// Call measures so many pairs of blocks of so many calls. Which of a pair comes first changes with each. A shorter pair
+// MeasureRequests measures so many pairs of blocks of so many calls. Which of a pair comes first changes with each. A shorter pair
 // goes ahead that is not counted.
-func (b *Setup) Call(ctx context.Context, z Size, rate float64, calls, pairs int) (c Calls, err error) {
-	r, err := b.set(ctx, z, 0, 0)
+func (b *Bench) MeasureRequests(ctx context.Context, z FleetSize, rate float64, calls, pairs int) (c RequestCost, err error) {
+	r, err := b.newTestbed(ctx, z, 0, 0)
 	if err != nil {
-		return Calls{}, err
+		return RequestCost{}, err
 	}
-	load, err := startPart(ctx, b.Self, roleLoad, orders{Open: openMost})
+	load, err := startStandIn(ctx, b.StandIn, roleLoad, standInConfig{MaxConnections: maxInFlight})
 	if err != nil {
-		return Calls{}, errors.Join(err, r.end())
+		return RequestCost{}, errors.Join(err, r.close())
 	}
-	c = Calls{Size: z, Rate: rate, Sent: 1}
+	c = RequestCost{FleetSize: z, Rate: rate, Sent: 1}
 	block := func(through bool, calls int) (Block, error) {
-		l := Load{Targets: r.server.at.Serves, Rate: rate, Calls: calls, Open: openMost, Limit: 2 * b.Aim,
-			Name: fmt.Sprintf("b%d", c.Sent)}
+		l := Load{Targets: r.server.addresses.Service, Rate: rate, Requests: calls, MaxInFlight: maxInFlight, Timeout: 2 * b.LatencyObjective,
+			IDPrefix: fmt.Sprintf("b%d", c.Sent)}
 		if through {
 			l.Targets = []string{r.sidecar.address}
 		}
 		c.Sent += int64(calls)
-		return r.block(ctx, load, l)
+		return r.measureBlock(ctx, load, l)
 	}
 	err = func() error {
 		for pair := -1; pair < pairs; pair++ {
@@ -219,7 +219,7 @@
 					return err
 				case pair < 0:
 				case through:
-					c.Through = append(c.Through, bl)
+					c.Proxied = append(c.Proxied, bl)
 				default:
 					c.Direct = append(c.Direct, bl)
 				}
@@ -229,24 +229,24 @@
 		if err != nil {
 			return err
 		}
-		c.Served = seen.Calls
-		c.After, err = memory(r.sidecar.pid())
+		c.Served = seen.Requests
+		c.Memory, err = readMemory(r.sidecar.pid())
 		return err
 	}()
-	c.Warnings = r.sidecar.noted.Load()
+	c.Warnings = r.sidecar.warnings.Load()
 	err = errors.Join(err, load.stop()) // first: the sidecar waits for its connections
-	err = errors.Join(err, r.end())
+	err = errors.Join(err, r.close())
 	if err != nil {
 		return c, fmt.Errorf("calls: %w", err)
 	}
 	state := r.sidecar.cmd.ProcessState
-	c.User, c.System = state.UserTime(), state.SystemTime()
+	c.UserCPU, c.SystemCPU = state.UserTime(), state.SystemTime()
 	return c, nil
 }
 
-// block makes a load and reads the processes' clocks around it.
-func (r *rig) block(ctx context.Context, load *part, l Load) (b Block, err error) {
-	processes := map[*time.Duration]int{&b.Sidecar: r.sidecar.pid(), &b.Server: r.server.cmd.Process.Pid}
+// measureBlock makes a load and reads the processes' clocks around it.
+func (r *testbed) measureBlock(ctx context.Context, load *standIn, l Load) (b Block, err error) {
+	processes := map[*time.Duration]int{&b.SidecarCPU: r.sidecar.pid(), &b.ServerCPU: r.server.cmd.Process.Pid}
 	seen, err := r.server.counts(ctx)
 	if err != nil {
 		return b, err
@@ -259,7 +259,7 @@
 		}
 		*at = -before
 	}
-	if err := load.ask(ctx, "/load", l, &b.Result); err != nil {
+	if err := load.call(ctx, "/load", l, &b.Result); err != nil {
 		return b, err
 	}
 	for at, pid := range processes {
@@ -274,26 +274,26 @@
 	return b, err
 }
 
-// Idle is what a sidecar with no traffic takes.
-type Idle struct {
-	Start
-	Over  time.Duration // how long it was watched
-	Took  time.Duration // processor time meanwhile
-	After Memory
-	List  Counts // what discovery saw of it meanwhile
-	Told  Counts // and its peers: how many datagrams, and their bytes
+// IdleCost is what a sidecar with no traffic takes.
+type IdleCost struct {
+	StartCost
+	Duration  time.Duration // how long it was watched
+	CPU       time.Duration // processor time meanwhile
+	Memory    Memory
+	Discovery Counts // what discovery saw of it meanwhile
+	Gossip    Counts // and its peers: how many datagrams, and their bytes
 }
 
-// Idle watches sidecars of these sizes, all at once: they take next to nothing. They are started one by one.
-func (b *Setup) Idle(ctx context.Context, sizes []Size, over time.Duration) (out []Idle, err error) {
-	var rigs []*rig
+// MeasureIdle watches sidecars of these sizes, all at once: they take next to nothing. They are started one by one.
+func (b *Bench) MeasureIdle(ctx context.Context, sizes []FleetSize, over time.Duration) (out []IdleCost, err error) {
+	var rigs []*testbed
 	defer func() {
 		for _, r := range rigs {
-			err = errors.Join(err, r.end())
+			err = errors.Join(err, r.close())
 		}
 	}()
 	for _, z := range sizes {
-		r, err := b.set(ctx, z, 0, 0)
+		r, err := b.newTestbed(ctx, z, 0, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -302,12 +302,12 @@
 	look := func(sign int64) error {
 		for i, r := range rigs {
 			seen := &out[i]
-			took, after, err := r.used()
+			took, after, err := r.sidecarUsage()
 			if err != nil {
 				return err
 			}
-			seen.Took += time.Duration(sign) * took
-			seen.After = after
+			seen.CPU += time.Duration(sign) * took
+			seen.Memory = after
 			list, err := r.discovery.counts(ctx)
 			if err != nil {
 				return err
@@ -316,12 +316,12 @@
 			if err != nil {
 				return err
 			}
-			seen.List, seen.Told = seen.List.plus(list, sign), seen.Told.plus(told, sign)
+			seen.Discovery, seen.Gossip = seen.Discovery.plus(list, sign), seen.Gossip.plus(told, sign)
 		}
 		return nil
 	}
 	for _, r := range rigs {
-		out = append(out, Idle{Start: r.start, Over: over})
+		out = append(out, IdleCost{StartCost: r.startCost, Duration: over})
 	}
 	if err := look(-1); err != nil {
 		return nil, err
@@ -333,7 +333,7 @@
 }
 
 func (c Counts) plus(d Counts, sign int64) Counts {
-	return Counts{c.Calls + sign*d.Calls, c.Connections + sign*d.Connections, c.In + sign*d.In, c.Out + sign*d.Out,
+	return Counts{c.Requests + sign*d.Requests, c.Connections + sign*d.Connections, c.BytesReceived + sign*d.BytesReceived, c.BytesSent + sign*d.BytesSent,
 		c.Datagrams + sign*d.Datagrams}
 }
 
@@ -352,131 +352,131 @@
 	}
 }
 
-// Told is what it costs a sidecar to hear its peers.
-type Told struct {
-	Size
-	Senders      int     // peers that told in the name of all
-	Rate         float64 // datagrams a second
-	Silent, Told []While // in pairs
-	Heard        int64   // datagrams that the sidecar has taken, as its log last said (every 10 s)
+// GossipCost is what it costs a sidecar to hear its peers.
+type GossipCost struct {
+	FleetSize
+	Senders           int        // peers that told in the name of all
+	Rate              float64    // datagrams a second
+	Silent, Receiving []Interval // in pairs
+	Received          int64      // datagrams that the sidecar has taken, as its log last said (every 10 s)
 }
 
-// While is a while in a sidecar's life.
-type While struct {
-	Over      time.Duration
-	Took      time.Duration // processor time
-	Datagrams int           // sent to it
-	Dropped   int           // of these, by the kernel: its socket was full
-	Calls, OK int           // made, and answered 200
+// Interval is a while in a sidecar's life.
+type Interval struct {
+	Duration     time.Duration
+	CPU          time.Duration // processor time
+	Datagrams    int           // sent to it
+	Dropped      int           // of these, by the kernel: its socket was full
+	Requests, OK int           // made, and answered 200
 }
 
-// Hear measures pairs of whiles in which the sidecar hears nothing, and as many datagrams as its peers send when each
+// MeasureGossip measures pairs of whiles in which the sidecar hears nothing, and as many datagrams as its peers send when each
 // tells once an aim. No calls come meanwhile.
-func (b *Setup) Hear(ctx context.Context, z Size, over time.Duration, pairs int) (t Told, err error) {
-	r, err := b.set(ctx, z, mostSenders, 0)
+func (b *Bench) MeasureGossip(ctx context.Context, z FleetSize, over time.Duration, pairs int) (t GossipCost, err error) {
+	r, err := b.newTestbed(ctx, z, maxSenders, 0)
 	if err != nil {
-		return Told{}, err
+		return GossipCost{}, err
 	}
-	defer func() { err = errors.Join(err, r.end()) }()
-	t = Told{Size: z, Senders: r.senders, Rate: float64(z.Peers-1) / b.Aim.Seconds()}
+	defer func() { err = errors.Join(err, r.close()) }()
+	t = GossipCost{FleetSize: z, Senders: r.senders, Rate: float64(z.Peers-1) / b.LatencyObjective.Seconds()}
 	for pair := range pairs {
 		for turn := range 2 {
-			order := telling{To: r.peerListen, Rate: t.Rate, Seed: uint64(pair)}
+			order := gossipLoad{Target: r.gossipAddress, Rate: t.Rate, Seed: uint64(pair)}
 			if (pair+turn)%2 == 0 {
 				order.Count = max(1, int(t.Rate*over.Seconds()))
 			}
-			w, err := r.while(ctx, order, nil, Load{}, over)
+			w, err := r.measureInterval(ctx, order, nil, Load{}, over)
 			if err != nil {
 				return t, fmt.Errorf("hearing: %w", err)
 			}
 			if w.Datagrams > 0 {
-				t.Told = append(t.Told, w)
+				t.Receiving = append(t.Receiving, w)
 			} else {
 				t.Silent = append(t.Silent, w)
 			}
 		}
 	}
-	t.Heard = r.sidecar.heard.Load()
+	t.Received = r.sidecar.gossipReceived.Load()
 	return t, nil
 }
 
-// while has the sidecar told what the order says, if anything, and called as l says, if there is a load to do it. It
+// measureInterval has the sidecar told what the order says, if anything, and called as l says, if there is a load to do it. It
 // watches the sidecar until that is over, and for so long at least.
-func (r *rig) while(ctx context.Context, order telling, load *part, l Load, over time.Duration) (While, error) {
-	drops, _, err := socketState(r.peerListen)
+func (r *testbed) measureInterval(ctx context.Context, order gossipLoad, load *standIn, l Load, over time.Duration) (Interval, error) {
+	drops, _, err := udpSocketState(r.gossipAddress)
 	if err != nil {
-		return While{}, err
+		return Interval{}, err
 	}
 	begun := time.Now()
 	before, err := cpuTime(r.sidecar.pid())
 	if err != nil {
-		return While{}, err
+		return Interval{}, err
 	}
 	ended, running := make(chan error, 2), 0
 	if order.Count > 0 {
 		running++
-		go func() { ended <- r.peers.ask(ctx, "/tell", order, new(Counts)) }()
+		go func() { ended <- r.peers.call(ctx, "/tell", order, new(Counts)) }()
 	}
 	var result LoadResult
 	if load != nil {
 		running++
-		go func() { ended <- load.ask(ctx, "/load", l, &result) }()
+		go func() { ended <- load.call(ctx, "/load", l, &result) }()
 	}
 	err = wait(ctx, over)
 	for range running {
 		err = errors.Join(err, <-ended)
 	}
 	if err != nil {
-		return While{}, err
+		return Interval{}, err
 	}
 	after, err := cpuTime(r.sidecar.pid())
 	if err != nil {
-		return While{}, err
+		return Interval{}, err
 	}
-	w := While{Over: time.Since(begun), Took: after - before, Datagrams: order.Count, Calls: result.Calls, OK: result.OK}
-	dropped, _, err := socketState(r.peerListen)
+	w := Interval{Duration: time.Since(begun), CPU: after - before, Datagrams: order.Count, Requests: result.Requests, OK: result.OK}
+	dropped, _, err := udpSocketState(r.gossipAddress)
 	w.Dropped = int(dropped - drops)
 	return w, err
 }
 
-// Shares tells what a sidecar's processor time goes to, in whiles with and without calls and datagrams, in turns.
-type Shares struct {
-	Size
-	Service                      time.Duration // that servers take over a call
-	Rate, Told                   float64       // calls and datagrams a second
-	Neither, Called, Heard, Both []While
+// CPUBreakdown tells what a sidecar's processor time goes to, in whiles with and without calls and datagrams, in turns.
+type CPUBreakdown struct {
+	FleetSize
+	ServiceTime                  time.Duration // that servers take over a call
+	RequestRate, GossipRate      float64       // calls and datagrams a second
+	Idle, Requests, Gossip, Both []Interval
 }
 
-// Share measures rounds of such whiles, of so long each.
-func (b *Setup) Share(ctx context.Context, z Size, rate float64, service, over time.Duration, rounds int) (s Shares, err error) {
-	r, err := b.set(ctx, z, mostSenders, service)
+// MeasureCPUBreakdown measures rounds of such whiles, of so long each.
+func (b *Bench) MeasureCPUBreakdown(ctx context.Context, z FleetSize, rate float64, service, over time.Duration, rounds int) (s CPUBreakdown, err error) {
+	r, err := b.newTestbed(ctx, z, maxSenders, service)
 	if err != nil {
-		return Shares{}, err
+		return CPUBreakdown{}, err
 	}
-	load, err := startPart(ctx, b.Self, roleLoad, orders{Open: openMost})
+	load, err := startStandIn(ctx, b.StandIn, roleLoad, standInConfig{MaxConnections: maxInFlight})
 	if err != nil {
-		return Shares{}, errors.Join(err, r.end())
+		return CPUBreakdown{}, errors.Join(err, r.close())
 	}
-	defer func() { err = errors.Join(err, load.stop(), r.end()) }() // in this order: the sidecar waits for connections
-	s = Shares{Size: z, Service: service, Rate: rate, Told: float64(z.Peers-1) / b.Aim.Seconds()}
+	defer func() { err = errors.Join(err, load.stop(), r.close()) }() // in this order: the sidecar waits for connections
+	s = CPUBreakdown{FleetSize: z, ServiceTime: service, RequestRate: rate, GossipRate: float64(z.Peers-1) / b.LatencyObjective.Seconds()}
 	kinds := []struct {
 		called, told bool
-		to           *[]While
-	}{{false, false, &s.Neither}, {true, false, &s.Called}, {false, true, &s.Heard}, {true, true, &s.Both}}
+		to           *[]Interval
+	}{{false, false, &s.Idle}, {true, false, &s.Requests}, {false, true, &s.Gossip}, {true, true, &s.Both}}
 	for round := range rounds {
 		for turn := range kinds {
 			k := kinds[(round+turn)%len(kinds)]
-			var calls *part
-			l := Load{Targets: []string{r.sidecar.address}, Rate: rate, Calls: max(1, int(rate*over.Seconds())), Open: openMost,
-				Limit: 2 * b.Aim, Name: fmt.Sprintf("r%d-%d", round, turn)}
+			var calls *standIn
+			l := Load{Targets: []string{r.sidecar.address}, Rate: rate, Requests: max(1, int(rate*over.Seconds())), MaxInFlight: maxInFlight,
+				Timeout: 2 * b.LatencyObjective, IDPrefix: fmt.Sprintf("r%d-%d", round, turn)}
 			if k.called {
 				calls = load
 			}
-			order := telling{To: r.peerListen, Rate: s.Told, Seed: uint64(round)}
+			order := gossipLoad{Target: r.gossipAddress, Rate: s.GossipRate, Seed: uint64(round)}
 			if k.told {
-				order.Count = max(1, int(s.Told*over.Seconds()))
+				order.Count = max(1, int(s.GossipRate*over.Seconds()))
 			}
-			w, err := r.while(ctx, order, calls, l, over)
+			w, err := r.measureInterval(ctx, order, calls, l, over)
 			if err != nil {
 				return s, fmt.Errorf("shares: %w", err)
 			}
@@ -488,7 +488,7 @@
 
 // latencies are the calls of some blocks together.
 func latencies(blocks []Block, of func(LoadResult) *hdrhistogram.Snapshot) *hdrhistogram.Histogram {
-	all := hdrhistogram.New(leastTime, mostTime, timeFigures)
+	all := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	for _, b := range blocks {
 		all.Merge(hdrhistogram.Import(of(b.Result)))
 	}
--- a/internal/sidecarbench/sidecarbench_test.go
+++ b/internal/sidecarbench/sidecarbench_test.go
@@ -25,13 +25,13 @@
 	pairs   = flag.Int("pairs", 8, "pairs of blocks that the long form compares calls by")
 )
 
-// generous is the aim of what is only checked: nothing on a busy machine takes that long.
-const generous = 20 * time.Second
+// generousTimeout is the aim of what is only checked: nothing on a busy machine takes that long.
+const generousTimeout = 20 * time.Second
 
 // TestMain lets the test program play the parts beside the sidecar.
 func TestMain(m *testing.M) {
 	if role := os.Getenv(RoleVariable); role != "" {
-		if err := Play(context.Background(), role, os.Stdin, os.Stdout); err != nil {
+		if err := RunStandIn(context.Background(), role, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -40,8 +40,8 @@
 	os.Exit(m.Run())
 }
 
-// program builds the sidecar as it is deployed.
-func program(t *testing.T) string {
+// buildSidecar builds the sidecar as it is deployed.
+func buildSidecar(t *testing.T) string {
 	t.Helper()
 	root := filepath.Join("..", "..")
 	raw, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -61,71 +61,71 @@
 	return path
 }
 
-func setup(t *testing.T, aim time.Duration) *Setup {
+func newBench(t *testing.T, aim time.Duration) *Bench {
 	t.Helper()
-	return &Setup{Program: program(t), Self: os.Args[0], Dir: t.TempDir(), Aim: aim}
+	return &Bench{Program: buildSidecar(t), StandIn: os.Args[0], Dir: t.TempDir(), LatencyObjective: aim}
 }
 
 // Every call through the real program is answered 200 and reaches a server once, and every datagram of a listed peer
 // is taken in. With -measure it is the measurement itself: the figures are printed, none is judged.
 func TestOverhead(t *testing.T) {
 	if *measure {
-		long(t)
+		measureAll(t)
 		return
 	}
-	b, ctx := setup(t, generous), t.Context()
-	calls, err := b.Call(ctx, Size{Peers: 16, Servers: 16, Known: true}, callsEach, 100, 1)
+	b, ctx := newBench(t, generousTimeout), t.Context()
+	calls, err := b.MeasureRequests(ctx, FleetSize{Peers: 16, Servers: 16, ListInConfig: true}, meanRequestRate, 100, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if calls.Served != calls.Sent {
 		t.Errorf("%d calls were made, servers were asked %d times", calls.Sent, calls.Served)
 	}
-	for path, blocks := range map[string][]Block{"direct": calls.Direct, "sidecar": calls.Through} {
+	for path, blocks := range map[string][]Block{"direct": calls.Direct, "sidecar": calls.Proxied} {
 		if len(blocks) != 1 {
 			t.Fatalf("%s: %d blocks", path, len(blocks))
 		}
 		r := blocks[0].Result
-		if r.Calls != 100 || r.OK != 100 || r.Wrong != 0 || r.Failed != 0 {
-			t.Errorf("%s: %d calls, 200: %d, wrong %d, failed %d: %s", path, r.Calls, r.OK, r.Wrong, r.Failed, r.First)
+		if r.Requests != 100 || r.OK != 100 || r.WrongResponses != 0 || r.Failed != 0 {
+			t.Errorf("%s: %d calls, 200: %d, wrong %d, failed %d: %s", path, r.Requests, r.OK, r.WrongResponses, r.Failed, r.FirstError)
 		}
 		if n := hdrhistogram.Import(r.Latency).TotalCount(); n != 100 {
 			t.Errorf("%s: %d times", path, n)
 		}
 	}
-	if calls.Through[0].Sidecar <= 0 {
+	if calls.Proxied[0].SidecarCPU <= 0 {
 		t.Error("the sidecar carried calls in no time at all")
 	}
-	shares, err := b.Share(ctx, Size{Peers: 41, Servers: 16, Known: true}, 40, 10*time.Millisecond, 100*time.Millisecond, 1)
+	shares, err := b.MeasureCPUBreakdown(ctx, FleetSize{Peers: 41, Servers: 16, ListInConfig: true}, 40, 10*time.Millisecond, 100*time.Millisecond, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for kind, w := range map[string][2][]While{"calls": {shares.Called, shares.Both}, "none": {shares.Neither, shares.Heard}} {
+	for kind, w := range map[string][2][]Interval{"calls": {shares.Requests, shares.Both}, "none": {shares.Idle, shares.Gossip}} {
 		want := map[string]int{"calls": 4, "none": 0}[kind]
 		for _, w := range w {
-			if len(w) != 1 || w[0].Calls != want || w[0].OK != want {
+			if len(w) != 1 || w[0].Requests != want || w[0].OK != want {
 				t.Errorf("%s: %+v, want one while with %d calls", kind, w, want)
 			}
 		}
 	}
 	const peers, datagrams = 41, 200
-	r, err := b.set(ctx, Size{Peers: peers, Servers: 50}, mostSenders, 0) // its list is discovery's
+	r, err := b.newTestbed(ctx, FleetSize{Peers: peers, Servers: 50}, maxSenders, 0) // its list is discovery's
 	if err != nil {
 		t.Fatal(err)
 	}
-	if least := int64(len(listing(50, r.server.at.Serves, true))); r.start.ListBytes < least {
-		t.Errorf("discovery sent %d bytes, the list has %d", r.start.ListBytes, least)
+	if least := int64(len(endpointList(50, r.server.addresses.Service, true))); r.startCost.ListBytes < least {
+		t.Errorf("discovery sent %d bytes, the list has %d", r.startCost.ListBytes, least)
 	}
 	var seen Counts
-	if err := r.peers.ask(ctx, "/tell", telling{To: r.peerListen, Rate: 1000, Count: datagrams}, &seen); err != nil {
+	if err := r.peers.call(ctx, "/tell", gossipLoad{Target: r.gossipAddress, Rate: 1000, Count: datagrams}, &seen); err != nil {
 		t.Error(err)
 	}
-	if seen.Out != datagrams*datagram {
-		t.Errorf("%d bytes were told, want %d", seen.Out, datagrams*datagram)
+	if seen.BytesSent != datagrams*datagramBytes {
+		t.Errorf("%d bytes were told, want %d", seen.BytesSent, datagrams*datagramBytes)
 	}
-	stuck := time.Now().Add(generous)
+	stuck := time.Now().Add(generousTimeout)
 	for {
-		drops, waiting, err := socketState(r.peerListen)
+		drops, waiting, err := udpSocketState(r.gossipAddress)
 		if err != nil || drops != 0 || time.Now().After(stuck) {
 			t.Fatalf("%d datagrams were dropped and %d bytes not read: %v", drops, waiting, err)
 		}
@@ -133,17 +133,17 @@
 			break
 		}
 	}
-	if n := r.sidecar.noted.Load(); n != 0 {
+	if n := r.sidecar.warnings.Load(); n != 0 {
 		t.Errorf("its log warns %d times", n)
 	}
-	if err := r.end(); err != nil {
+	if err := r.close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// long measures. What else the machine does is for its reader to say.
-func long(t *testing.T) {
-	b, ctx := setup(t, 2*time.Second), t.Context()
+// measureAll measures. What else the machine does is for its reader to say.
+func measureAll(t *testing.T) {
+	b, ctx := newBench(t, 2*time.Second), t.Context()
 	load := func() string {
 		raw, err := os.ReadFile("/proc/loadavg")
 		if err != nil {
@@ -152,70 +152,70 @@
 		return strings.TrimSpace(string(raw))
 	}
 	t.Logf("load of the machine: %s", load())
-	var sizes []Size
+	var sizes []FleetSize
 	for _, n := range []int{1, 300, 1000, 3000, 11000} {
-		sizes = append(sizes, Size{Peers: n, Servers: 16, Known: true})
+		sizes = append(sizes, FleetSize{Peers: n, Servers: 16, ListInConfig: true})
 	}
 	for _, n := range []int{16, 200, 1000, 3000, 11000} {
-		sizes = append(sizes, Size{Peers: 16, Servers: n, Known: true})
+		sizes = append(sizes, FleetSize{Peers: 16, Servers: n, ListInConfig: true})
 	}
 	for _, n := range []int{16, 200, 1000, 3000, 11000} {
-		sizes = append(sizes, Size{Peers: 16, Servers: n})
+		sizes = append(sizes, FleetSize{Peers: 16, Servers: n})
 	}
-	idle, err := b.Idle(ctx, sizes, 30*time.Second)
+	idle, err := b.MeasureIdle(ctx, sizes, 30*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var starts []Start
+	var starts []StartCost
 	for _, s := range idle {
-		starts = append(starts, s.Start)
+		starts = append(starts, s.StartCost)
 	}
 	t.Logf("load of the machine: %s\nstarts\n\n%s\nno traffic\n\n%s", load(), StartTable(starts), IdleTable(idle))
-	var told []Told
+	var told []GossipCost
 	for _, n := range []int{300, 1000, 3000, 11000} {
-		h, err := b.Hear(ctx, Size{Peers: n, Servers: 16, Known: true}, 3*time.Second, 4)
+		h, err := b.MeasureGossip(ctx, FleetSize{Peers: n, Servers: 16, ListInConfig: true}, 3*time.Second, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
 		told = append(told, h)
 	}
-	t.Logf("load of the machine: %s\nwhat peers tell\n\n%s", load(), ToldTable(told))
-	var shares []Shares
+	t.Logf("load of the machine: %s\nwhat peers tell\n\n%s", load(), GossipTable(told))
+	var shares []CPUBreakdown
 	for _, service := range []time.Duration{0, 300 * time.Millisecond} {
-		s, err := b.Share(ctx, Size{Peers: 300, Servers: 200, Known: true}, 17.6, service, 4*time.Second, 3)
+		s, err := b.MeasureCPUBreakdown(ctx, FleetSize{Peers: 300, Servers: 200, ListInConfig: true}, 17.6, service, 4*time.Second, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		shares = append(shares, s)
 	}
-	t.Logf("load of the machine: %s\nfew calls among peers that tell\n\n%s", load(), ShareTable(shares))
-	var calls []Calls
-	for _, z := range []Size{{16, 16, true}, {11000, 11000, true}} {
-		for _, rate := range []float64{callsEach, 4 * callsEach} {
-			c, err := b.Call(ctx, z, rate, int(3*rate), *pairs)
+	t.Logf("load of the machine: %s\nfew calls among peers that tell\n\n%s", load(), CPUBreakdownTable(shares))
+	var calls []RequestCost
+	for _, z := range []FleetSize{{16, 16, true}, {11000, 11000, true}} {
+		for _, rate := range []float64{meanRequestRate, 4 * meanRequestRate} {
+			c, err := b.MeasureRequests(ctx, z, rate, int(3*rate), *pairs)
 			if err != nil {
 				t.Fatal(err)
 			}
 			calls = append(calls, c)
 		}
 	}
-	t.Logf("load of the machine: %s\ncalls\n\n%s", load(), CallTable(calls))
+	t.Logf("load of the machine: %s\ncalls\n\n%s", load(), RequestTable(calls))
 }
 
 // A call that is held up behind a slow one counts from when it was due: with one connection and a first call that
 // takes as long as four others are apart, all four wait.
-func TestCallsCountFromWhenTheyWereDue(t *testing.T) {
+func TestLatencyIncludesScheduleDelay(t *testing.T) {
 	const apart = 20 * time.Millisecond
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.Add(1) == 1 {
 			<-time.After(4 * apart)
 		}
-		w.Header().Set("Content-Length", strconv.Itoa(bodySize))
-		_, _ = w.Write(make([]byte, bodySize))
+		w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
+		_, _ = w.Write(make([]byte, responseBodyBytes))
 	}))
 	defer s.Close()
-	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 1 / apart.Seconds(), Calls: 4, Open: 1, Limit: generous, Name: "c"}
+	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 1 / apart.Seconds(), Requests: 4, MaxInFlight: 1, Timeout: generousTimeout, IDPrefix: "c"}
 	client := newClient(1)
 	defer client.CloseIdleConnections()
 	r, err := l.Run(t.Context(), client)
@@ -223,9 +223,9 @@
 		t.Fatal(err)
 	}
 	// The last is due 3 apart after the first and can't begin before 4: it is late by one at least, and so on.
-	late := hdrhistogram.Import(r.Late)
+	late := hdrhistogram.Import(r.ScheduleDelay)
 	if r.OK != 4 || late.ValueAtPercentile(50) < int64(apart)*99/100 || late.Max() < int64(3*apart)*99/100 {
-		t.Errorf("200: %d of %d; late by %v (median) and %v (most)", r.OK, r.Calls,
+		t.Errorf("200: %d of %d; late by %v (median) and %v (most)", r.OK, r.Requests,
 			time.Duration(late.ValueAtPercentile(50)), time.Duration(late.Max()))
 	}
 	if least := hdrhistogram.Import(r.Latency).Min(); least < int64(apart)*99/100 {
@@ -234,7 +234,7 @@
 }
 
 // A wrong answer and none are told apart from a right one.
-func TestWrongAnswersAreCounted(t *testing.T) {
+func TestLoadCountsWrongResponses(t *testing.T) {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n.Add(1) {
@@ -245,19 +245,19 @@
 		case 3:
 			panic(http.ErrAbortHandler)
 		default:
-			_, _ = w.Write(make([]byte, bodySize))
+			_, _ = w.Write(make([]byte, responseBodyBytes))
 		}
 	}))
 	defer s.Close()
-	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 1000, Calls: 5, Open: 1, Limit: generous, Name: "c"}
+	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 1000, Requests: 5, MaxInFlight: 1, Timeout: generousTimeout, IDPrefix: "c"}
 	client := newClient(1)
 	client.Transport.(*http.Transport).DisableKeepAlives = true // on a kept one it would send again by itself
 	r, err := l.Run(t.Context(), client)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Calls != 5 || r.OK != 2 || r.Wrong != 2 || r.Failed != 1 || !strings.Contains(r.First, "503") {
-		t.Errorf("%d calls, 200: %d, wrong %d, failed %d, first %q", r.Calls, r.OK, r.Wrong, r.Failed, r.First)
+	if r.Requests != 5 || r.OK != 2 || r.WrongResponses != 2 || r.Failed != 1 || !strings.Contains(r.FirstError, "503") {
+		t.Errorf("%d calls, 200: %d, wrong %d, failed %d, first %q", r.Requests, r.OK, r.WrongResponses, r.Failed, r.FirstError)
 	}
 	if _, err := (Load{}).Run(t.Context(), client); err == nil {
 		t.Error("a load of nothing was made")
@@ -265,21 +265,21 @@
 }
 
 // A load ends with its context, and its calls with it.
-func TestLoadEndsWithItsContext(t *testing.T) {
+func TestLoadStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 100, Calls: 1000, Open: 1, Limit: generous, Name: "c"}
+	l := Load{Targets: []string{s.Listener.Addr().String()}, Rate: 100, Requests: 1000, MaxInFlight: 1, Timeout: generousTimeout, IDPrefix: "c"}
 	if _, err := l.Run(ctx, newClient(1)); err == nil {
 		t.Error("it made all its calls")
 	}
 }
 
 // The processor time of another process grows with its work, and of one that is no more there is none.
-func TestProcessorTimeOfAnotherProcess(t *testing.T) {
+func TestProcessUsage(t *testing.T) {
 	cmd := exec.Command("bash", "-c", "i=0; while ((i<20000)); do ((i+=1)); done; echo; read -r")
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -303,7 +303,7 @@
 	if err != nil || after <= before {
 		t.Errorf("%v, then %v: %v", before, after, err)
 	}
-	if m, err := memory(cmd.Process.Pid); err != nil || m.Resident <= 0 || m.Peak < m.Resident {
+	if m, err := readMemory(cmd.Process.Pid); err != nil || m.Resident <= 0 || m.Peak < m.Resident {
 		t.Errorf("%+v: %v", m, err)
 	}
 	if err := in.Close(); err != nil {
@@ -322,18 +322,18 @@
 // silence.
 func TestTablesComparePairs(t *testing.T) {
 	block := func(us int64, took time.Duration) Block {
-		h := hdrhistogram.New(leastTime, mostTime, timeFigures)
+		h := hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 		for range 100 {
 			if err := h.RecordValue(us * 1000); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return Block{Result: LoadResult{Calls: 100, OK: 100, Latency: h.Export(), Late: h.Export()}, Sidecar: took}
+		return Block{Result: LoadResult{Requests: 100, OK: 100, Latency: h.Export(), ScheduleDelay: h.Export()}, SidecarCPU: took}
 	}
-	c := Calls{Size: Size{Peers: 16, Servers: 16}, Rate: 373, User: time.Second, System: time.Second,
+	c := RequestCost{FleetSize: FleetSize{Peers: 16, Servers: 16}, Rate: 373, UserCPU: time.Second, SystemCPU: time.Second,
 		Direct:  []Block{block(100, 0), block(1100, 0)},
-		Through: []Block{block(300, 10*time.Millisecond), block(1500, 20*time.Millisecond)}}
-	near := func(what string, got spread, want ...float64) {
+		Proxied: []Block{block(300, 10*time.Millisecond), block(1500, 20*time.Millisecond)}}
+	near := func(what string, got samples, want ...float64) {
 		t.Helper()
 		for i := range want {
 			if len(got) != len(want) || math.Abs(got[i]-want[i]) > 0.002*want[i]+0.002 { // histograms keep three figures
@@ -343,21 +343,21 @@
 		}
 	}
 	near("added median, ms", c.added(quantile(50)), 0.2, 0.4)
-	near("sidecar, us a call", each(c.Through, eachCall(func(b Block) time.Duration { return b.Sidecar })), 100, 200)
-	out := CallTable([]Calls{c})
+	near("sidecar, us a call", sampleBlocks(c.Proxied, perRequest(func(b Block) time.Duration { return b.SidecarCPU })), 100, 200)
+	out := RequestTable([]RequestCost{c})
 	for _, want := range []string{"| 16 | 16 | 373 | sidecar | 200 | 0 |", "| 150 (sd 71; 100 to 200) |"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	told := Told{Told: []While{{Over: 2 * time.Second, Took: 5 * time.Millisecond, Datagrams: 1500, Dropped: 500}},
-		Silent: []While{{Over: time.Second, Took: time.Millisecond}}}
-	near("us a datagram", told.each(), 3)
-	whiles := func(took time.Duration) []While {
-		return []While{{Over: 2 * time.Second, Took: took, Datagrams: 100, Calls: 10, OK: 9}}
+	told := GossipCost{Receiving: []Interval{{Duration: 2 * time.Second, CPU: 5 * time.Millisecond, Datagrams: 1500, Dropped: 500}},
+		Silent: []Interval{{Duration: time.Second, CPU: time.Millisecond}}}
+	near("us a datagram", told.cpuPerDatagram(), 3)
+	whiles := func(took time.Duration) []Interval {
+		return []Interval{{Duration: 2 * time.Second, CPU: took, Datagrams: 100, Requests: 10, OK: 9}}
 	}
-	out = ShareTable([]Shares{{Neither: whiles(2 * time.Millisecond), Called: whiles(4 * time.Millisecond),
-		Heard: whiles(3 * time.Millisecond), Both: whiles(5 * time.Millisecond)}})
+	out = CPUBreakdownTable([]CPUBreakdown{{Idle: whiles(2 * time.Millisecond), Requests: whiles(4 * time.Millisecond),
+		Gossip: whiles(3 * time.Millisecond), Both: whiles(5 * time.Millisecond)}})
 	if want := "| 200 (sd 0; 200 to 200) | 10 (sd 0; 10 to 10) | 3 | 0 |"; !strings.Contains(out, want) {
 		t.Errorf("no %q in\n%s", want, out)
 	}
--- a/internal/sidecarbench/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -34,38 +34,38 @@
 	roleLoad      = "load"      // the application
 )
 
-// orders are what a part is told at its start, as one line of JSON on its standard input.
-type orders struct {
-	Addresses []string      // server: where to listen, port 0 for any. peers: where to send from
-	Service   time.Duration // server: how long it takes over a call
-	Servers   int           // discovery: how many it lists
-	At        []string      // discovery: their addresses, in turns
-	Open      int           // load: connections to a target at most
+// standInConfig are what a part is told at its start, as one line of JSON on its standard input.
+type standInConfig struct {
+	Addresses       []string      // server: where to listen, port 0 for any. peers: where to send from
+	ServiceTime     time.Duration // server: how long it takes over a call
+	Servers         int           // discovery: how many it lists
+	ServerAddresses []string      // discovery: their addresses, in turns
+	MaxConnections  int           // load: connections to a target at most
 }
 
-// whereabouts are what a part answers, as one line of JSON on its standard output, once it listens.
-type whereabouts struct {
+// standInAddresses are what a part answers, as one line of JSON on its standard output, once it listens.
+type standInAddresses struct {
 	Control string   // where it takes questions
-	Serves  []string // where it does what it stands in for
+	Service []string // where it does what it stands in for
 }
 
 // Counts are what a part has seen so far.
 type Counts struct {
-	Calls       int64 // server: requests that have an id. discovery: all
-	Connections int64 // accepted
-	In, Out     int64 // bytes read and written, without headers of TCP, UDP and IP
-	Datagrams   int64 // peers: received
+	Requests                 int64 // server: requests that have an id. discovery: all
+	Connections              int64 // accepted
+	BytesReceived, BytesSent int64 // bytes read and written, without headers of TCP, UDP and IP
+	Datagrams                int64 // peers: received
 }
 
-// counter keeps Counts.
-type counter struct{ calls, connections, in, out, datagrams atomic.Int64 }
+// counters keeps Counts.
+type counters struct{ requests, connections, bytesReceived, bytesSent, datagrams atomic.Int64 }
 
-func (c *counter) counts() Counts {
-	return Counts{c.calls.Load(), c.connections.Load(), c.in.Load(), c.out.Load(), c.datagrams.Load()}
+func (c *counters) counts() Counts {
+	return Counts{c.requests.Load(), c.connections.Load(), c.bytesReceived.Load(), c.bytesSent.Load(), c.datagrams.Load()}
 }
 
-// Play plays the part of that name until in ends, which is when whoever started it has ended.
-func Play(ctx context.Context, role string, in io.Reader, out io.Writer) error {
+// RunStandIn plays the part of that name until in ends, which is when whoever started it has ended.
+func RunStandIn(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	runtime.GOMAXPROCS(4) // none needs more, and an idle runtime is the quieter the fewer it has
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: orders: %w", role, err)
 	}
-	var o orders
+	var o standInConfig
 	if err := json.Unmarshal(line, &o); err != nil {
 		return fmt.Errorf("%s: orders: %w", role, err)
 	}
@@ -82,18 +82,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: control: %w", role, err)
 	}
-	mux, c := http.NewServeMux(), new(counter)
+	mux, c := http.NewServeMux(), new(counters)
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, c.counts(), nil) })
 	var serves []string
 	switch role {
 	case roleServer:
-		serves, err = playServer(o, c)
+		serves, err = runServers(o, c)
 	case roleDiscovery:
-		serves, err = playDiscovery(o, c, mux)
+		serves, err = runDiscovery(o, c, mux)
 	case rolePeers:
-		serves, err = playPeers(o, c, mux)
+		serves, err = runPeers(o, c, mux)
 	case roleLoad:
-		playLoad(o, mux)
+		runLoadGenerator(o, mux)
 	default:
 		err = errors.New("no such part")
 	}
@@ -103,7 +103,7 @@
 	server := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	go func() { _ = server.Serve(control) }() // it ends with the process
 	defer server.Close()
-	if err := json.NewEncoder(out).Encode(whereabouts{control.Addr().String(), serves}); err != nil {
+	if err := json.NewEncoder(out).Encode(standInAddresses{control.Addr().String(), serves}); err != nil {
 		return fmt.Errorf("%s: whereabouts: %w", role, err)
 	}
 	_, err = io.Copy(io.Discard, lines)
@@ -123,12 +123,12 @@
 // countingListener counts what passes over its connections.
 type countingListener struct {
 	net.Listener
-	c *counter
+	c *counters
 }
 
 type countingConn struct {
 	net.Conn
-	c *counter
+	c *counters
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
@@ -142,18 +142,18 @@
 
 func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.c.in.Add(int64(n))
+	c.c.bytesReceived.Add(int64(n))
 	return n, err
 }
 
 func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.c.out.Add(int64(n))
+	c.c.bytesSent.Add(int64(n))
 	return n, err
 }
 
 // serve answers on an address.
-func serve(address string, c *counter, h http.Handler) (string, error) {
+func serve(address string, c *counters, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
@@ -162,19 +162,19 @@
 	return l.Addr().String(), nil
 }
 
-// playServer stands in for map servers: each answers with a body of bodySize, at once where service is 0. Then what a
+// runServers stands in for map servers: each answers with a body of bodySize, at once where service is 0. Then what a
 // call takes is what carrying it costs.
-func playServer(o orders, c *counter) ([]string, error) {
-	body := []byte(strings.Repeat("x", bodySize))
+func runServers(o standInConfig, c *counters) ([]string, error) {
+	body := []byte(strings.Repeat("x", responseBodyBytes))
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-Id") != "" {
-			c.calls.Add(1)
+			c.requests.Add(1)
 		}
-		if err := wait(r.Context(), o.Service); err != nil {
+		if err := wait(r.Context(), o.ServiceTime); err != nil {
 			return // the caller has gone
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		w.Header().Set("Content-Length", strconv.Itoa(bodySize))
+		w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
 		_, _ = w.Write(body) // it fails if the caller has gone
 	})
 	var serves []string
@@ -188,14 +188,14 @@
 	return serves, nil
 }
 
-// generation is the version of the only list that there is.
-const generation = 1
+// listVersion is the version of the only list that there is.
+const listVersion = 1
 
-// listing is discovery's list of n servers that share some addresses in turns: a sidecar keeps what it knows of a
+// endpointList is discovery's list of n servers that share some addresses in turns: a sidecar keeps what it knows of a
 // server, and its connections, by the server's name.
-func listing(n int, at []string, whole bool) []byte {
+func endpointList(n int, at []string, whole bool) []byte {
 	var out strings.Builder
-	fmt.Fprintf(&out, `{"generation":%d,"reset":%t,"instances":[`, generation, whole)
+	fmt.Fprintf(&out, `{"generation":%d,"reset":%t,"instances":[`, listVersion, whole)
 	for i := range n {
 		if i > 0 {
 			out.WriteByte(',')
@@ -207,13 +207,13 @@
 	return []byte(out.String())
 }
 
-// playDiscovery stands in for discovery. Nothing ever changes: a watch is held as long as it may be, and then
+// runDiscovery stands in for discovery. Nothing ever changes: a watch is held as long as it may be, and then
 // answered with no entries. GET /followed on the control side waits for the first watch that is held.
-func playDiscovery(o orders, c *counter, mux *http.ServeMux) ([]string, error) {
-	if len(o.At) == 0 {
+func runDiscovery(o standInConfig, c *counters, mux *http.ServeMux) ([]string, error) {
+	if len(o.ServerAddresses) == 0 {
 		return nil, errors.New("no addresses to list")
 	}
-	whole, unchanged := listing(o.Servers, o.At, true), listing(0, o.At, false)
+	whole, unchanged := endpointList(o.Servers, o.ServerAddresses, true), endpointList(0, o.ServerAddresses, false)
 	followed, once := make(chan struct{}), sync.Once{}
 	send := func(w http.ResponseWriter, answer []byte) {
 		w.Header().Set("Content-Type", "application/json")
@@ -221,9 +221,9 @@
 		_, _ = w.Write(answer) // it fails if the sidecar has gone
 	}
 	at, err := serve("127.0.0.1:0", c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.calls.Add(1)
+		c.requests.Add(1)
 		q := r.URL.Query()
-		if q.Get("index") != strconv.Itoa(generation) {
+		if q.Get("index") != strconv.Itoa(listVersion) {
 			send(w, whole)
 			return
 		}
@@ -256,18 +256,18 @@
 	return []string{at}, nil
 }
 
-// telling is an order to tell news as other sidecars do.
-type telling struct {
-	To    string  // where the sidecar listens
-	Rate  float64 // datagrams a second over all senders
-	Count int     // datagrams
-	Seed  uint64  // of their times
+// gossipLoad is an order to tell news as other sidecars do.
+type gossipLoad struct {
+	Target string  // where the sidecar listens
+	Rate   float64 // datagrams a second over all senders
+	Count  int     // datagrams
+	Seed   uint64  // of their times
 }
 
-// playPeers stands in for the other sidecars: it counts what comes to the address of them all, and POST /tell on the
+// runPeers stands in for the other sidecars: it counts what comes to the address of them all, and POST /tell on the
 // control side has it send news, its senders by turns. The times are a Poisson process, which is what many senders,
 // each at its own pace, come to together.
-func playPeers(o orders, c *counter, mux *http.ServeMux) ([]string, error) {
+func runPeers(o standInConfig, c *counters, mux *http.ServeMux) ([]string, error) {
 	all, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
@@ -280,7 +280,7 @@
 				return
 			}
 			c.datagrams.Add(1)
-			c.in.Add(int64(n))
+			c.bytesReceived.Add(int64(n))
 		}
 	}()
 	serves := []string{all.LocalAddr().String()}
@@ -298,7 +298,7 @@
 		serves = append(serves, s.LocalAddr().String())
 	}
 	mux.HandleFunc("POST /tell", func(w http.ResponseWriter, r *http.Request) {
-		var t telling
+		var t gossipLoad
 		err := json.NewDecoder(r.Body).Decode(&t)
 		if err == nil {
 			err = t.run(r.Context(), senders, c)
@@ -308,8 +308,8 @@
 	return serves, nil
 }
 
-func (t telling) run(ctx context.Context, senders []*net.UDPConn, c *counter) error {
-	to, err := netip.ParseAddrPort(t.To)
+func (t gossipLoad) run(ctx context.Context, senders []*net.UDPConn, c *counters) error {
+	to, err := netip.ParseAddrPort(t.Target)
 	if err != nil {
 		return err
 	}
@@ -318,21 +318,21 @@
 	}
 	rng := rand.New(rand.NewPCG(t.Seed, 0))
 	at := time.Duration(0)
-	return pace(ctx, t.Count, func(int) time.Duration {
+	return runSchedule(ctx, t.Count, func(int) time.Duration {
 		at += time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second))
 		return at
 	}, func(i int, _ time.Time) error {
 		// A calm fleet: answers at a tenth of the aim.
-		news := policy.GossipMessage{SentAt: time.Duration(time.Now().UnixNano()), RequestRate: callsEach, Responses: callsEach, Congestion: 0.01}
+		news := policy.GossipMessage{SentAt: time.Duration(time.Now().UnixNano()), RequestRate: meanRequestRate, Responses: meanRequestRate, Congestion: 0.01}
 		n, err := senders[i%len(senders)].WriteToUDPAddrPort(gossip.Encode(news), to)
-		c.out.Add(int64(n))
+		c.bytesSent.Add(int64(n))
 		return err
 	})
 }
 
-// playLoad makes loads: POST /load on the control side.
-func playLoad(o orders, mux *http.ServeMux) {
-	client := newClient(o.Open)
+// runLoadGenerator makes loads: POST /load on the control side.
+func runLoadGenerator(o standInConfig, mux *http.ServeMux) {
+	client := newClient(o.MaxConnections)
 	mux.HandleFunc("POST /load", func(w http.ResponseWriter, r *http.Request) {
 		var l Load
 		if err := json.NewDecoder(r.Body).Decode(&l); err != nil {
@@ -346,8 +346,8 @@
 		}
 		result, err := l.Run(r.Context(), client)
 		if err == nil {
-			result.Took, err = cpuTime(os.Getpid())
-			result.Took -= before
+			result.CPU, err = cpuTime(os.Getpid())
+			result.CPU -= before
 		}
 		reply(w, result, err)
 	})
