--- a/internal/sidecarbench/config.go
+++ b/internal/sidecarbench/sidecar_config.go
@@ -5,45 +5,40 @@
 	"fmt"
 )
 
-// What every call says of itself, and what a sidecar of the size to come is asked: 4.1 million calls a second over
-// 11,000 sidecars.
 const (
-	className       = "call"
-	tenantName      = "north"
+	// className and tenantName are the priority class and the tenant of all requests.
+	className  = "call"
+	tenantName = "north"
+
+	// meanRequestRate is the mean rate of a sidecar in the assumed fleet, in requests per second: 4.1 million over
+	// 11,000 sidecars.
 	meanRequestRate = 373.0
+
+	// peersPerSubnet is how many unreachable peers share the first three bytes of their address.
+	peersPerSubnet = 250
 )
 
-// FleetSize is what a sidecar is told of the fleet.
+// FleetSize is what a sidecar knows of the fleet.
 type FleetSize struct {
-	Peers        int  // that the configuration lists, this one included
-	Servers      int  // that discovery lists
-	ListInConfig bool // and that the configuration lists too, as last known: else the whole list comes from discovery
+	Peers        int  // sidecars in the configuration, this one included
+	Servers      int  // servers in the endpoint list
+	ListInConfig bool // the configuration has the endpoint list too; otherwise only discovery has it
 }
 
-// environment is where a sidecar finds its surroundings.
+// environment is the addresses of the stand-ins around a sidecar.
 type environment struct {
-	gossipAddress      string   // where it hears other sidecars
-	broadcastAddress   string   // from where one datagram goes to all
-	peerAddresses      []string // the peers that there are: any beyond are only listed
+	gossipAddress      string   // of the sidecar
+	broadcastAddress   string   // where one datagram goes to all peers
+	peerAddresses      []string // of the peers with a socket; others are in the configuration only
 	discoveryAddress   string
-	serverAddresses    []string // addresses of the stand-in servers, which all that are listed share
+	serverAddresses    []string // that all listed servers share
 	latencyObjectiveMS float64
 }
 
-// sidecarConfig is the program's configuration. Calls are such as may be sent again, their aim is aimMS and their deadline
-// twice that; quotas are what so many sidecars are asked in the mean; servers report no load.
+// sidecarConfig returns the configuration of the sidecar program as JSON. Requests are idempotent, with a deadline of
+// twice their latency objective. The quotas are the mean rate of the fleet, and servers report no load.
 func sidecarConfig(z FleetSize, p environment) ([]byte, error) {
-	peers := make([]string, z.Peers)
-	for i := range peers {
-		switch {
-		case i == 0:
-			peers[i] = p.gossipAddress
-		case i <= len(p.peerAddresses):
-			peers[i] = p.peerAddresses[i-1]
-		default:
-			peers[i] = fmt.Sprintf("127.200.%d.%d:7946", i/250, 1+i%250) // nobody is there
-		}
-	}
+	peers := configuredPeers(z.Peers, p)
 	quota := meanRequestRate * float64(z.Peers)
 	file := map[string]any{
 		"name": "sidecar-0", "listen": "127.0.0.1:0", "discovery": p.discoveryAddress, "seed": "8c1f30d27a5be964",
@@ -72,3 +67,19 @@
 	}
 	return raw, nil
 }
+
+// configuredPeers returns the addresses of n sidecars, of which the first is the measured one.
+func configuredPeers(n int, p environment) []string {
+	peers := make([]string, n)
+	for i := range peers {
+		switch {
+		case i == 0:
+			peers[i] = p.gossipAddress
+		case i <= len(p.peerAddresses):
+			peers[i] = p.peerAddresses[i-1]
+		default: // nothing listens there
+			peers[i] = fmt.Sprintf("127.200.%d.%d:7946", i/peersPerSubnet, 1+i%peersPerSubnet)
+		}
+	}
+	return peers
+}
--- a/internal/sidecarbench/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -7,348 +7,124 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"net/netip"
-	"os"
 	"runtime"
-	"strconv"
-	"strings"
-	"sync"
-	"sync/atomic"
 	"time"
-
-	"cranehatch/internal/gossip"
-	"cranehatch/policy"
 )
 
-// RoleVariable is the environment variable that names the part which a process plays, for Play.
+// RoleVariable is the environment variable with the role of a stand-in process, for RunStandIn.
 const RoleVariable = "OVERHEAD_ROLE"
 
-// The parts. Each is a process of its own, so that its processor time is told apart from the sidecar's.
+// The roles of stand-in processes.
 const (
-	roleServer    = "server"    // map servers
-	roleDiscovery = "discovery" // the list of servers
+	roleServer    = "server"    // servers
+	roleDiscovery = "discovery" // the discovery service
 	rolePeers     = "peers"     // the other sidecars
 	roleLoad      = "load"      // the application
 )
 
-// standInConfig are what a part is told at its start, as one line of JSON on its standard input.
+// standInProcessors limits the processors of a stand-in: none needs more, and an idle runtime with fewer disturbs
+// the measurement less.
+const standInProcessors = 4
+
+// standInConfig is what a stand-in gets at its start, as one line of JSON on its standard input.
 type standInConfig struct {
-	Addresses       []string      // server: where to listen, port 0 for any. peers: where to send from
-	ServiceTime     time.Duration // server: how long it takes over a call
-	Servers         int           // discovery: how many it lists
-	ServerAddresses []string      // discovery: their addresses, in turns
-	MaxConnections  int           // load: connections to a target at most
+	Addresses       []string      // server: where to listen, with port 0 for any free one. peers: where to send from
+	ServiceTime     time.Duration // server: for a request
+	Servers         int           // discovery: number of servers in the endpoint list
+	ServerAddresses []string      // discovery: their addresses, used in turn
+	MaxConnections  int           // load: to each target
 }
 
-// standInAddresses are what a part answers, as one line of JSON on its standard output, once it listens.
+// standInAddresses is the response of a stand-in when it listens, as one line of JSON on its standard output.
 type standInAddresses struct {
-	Control string   // where it takes questions
-	Service []string // where it does what it stands in for
+	Control string   // of the control interface
+	Service []string // of the service that it stands in for
 }
 
-// Counts are what a part has seen so far.
-type Counts struct {
-	Requests                 int64 // server: requests that have an id. discovery: all
-	Connections              int64 // accepted
-	BytesReceived, BytesSent int64 // bytes read and written, without headers of TCP, UDP and IP
-	Datagrams                int64 // peers: received
+// standInServer is a stand-in that is starting.
+type standInServer struct {
+	config   standInConfig
+	counters *counters
+	control  *http.ServeMux
 }
 
-// counters keeps Counts.
-type counters struct{ requests, connections, bytesReceived, bytesSent, datagrams atomic.Int64 }
-
-func (c *counters) counts() Counts {
-	return Counts{c.requests.Load(), c.connections.Load(), c.bytesReceived.Load(), c.bytesSent.Load(), c.datagrams.Load()}
-}
-
-// RunStandIn plays the part of that name until in ends, which is when whoever started it has ended.
+// RunStandIn runs the stand-in for a role until in ends, which it does with the process that started this one. It
+// returns an error if the stand-in cannot start.
 func RunStandIn(ctx context.Context, role string, in io.Reader, out io.Writer) error {
-	runtime.GOMAXPROCS(4) // none needs more, and an idle runtime is the quieter the fewer it has
+	runtime.GOMAXPROCS(standInProcessors)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	lines := bufio.NewReader(in)
 	line, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("%s: orders: %w", role, err)
-	}
-	var o standInConfig
-	if err := json.Unmarshal(line, &o); err != nil {
-		return fmt.Errorf("%s: orders: %w", role, err)
-	}
-	control, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return fmt.Errorf("%s: control: %w", role, err)
+		return fmt.Errorf("%s: configuration: %w", role, err)
 	}
-	mux, c := http.NewServeMux(), new(counters)
-	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, c.counts(), nil) })
-	var serves []string
-	switch role {
-	case roleServer:
-		serves, err = runServers(o, c)
-	case roleDiscovery:
-		serves, err = runDiscovery(o, c, mux)
-	case rolePeers:
-		serves, err = runPeers(o, c, mux)
-	case roleLoad:
-		runLoadGenerator(o, mux)
-	default:
-		err = errors.New("no such part")
+	s := standInServer{counters: new(counters), control: http.NewServeMux()}
+	if err := json.Unmarshal(line, &s.config); err != nil {
+		return fmt.Errorf("%s: configuration: %w", role, err)
 	}
+	addresses, server, err := s.start(ctx, role)
 	if err != nil {
 		return fmt.Errorf("%s: %w", role, err)
 	}
-	server := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
-	go func() { _ = server.Serve(control) }() // it ends with the process
 	defer server.Close()
-	if err := json.NewEncoder(out).Encode(standInAddresses{control.Addr().String(), serves}); err != nil {
-		return fmt.Errorf("%s: whereabouts: %w", role, err)
+	if err := json.NewEncoder(out).Encode(addresses); err != nil {
+		return fmt.Errorf("%s: addresses: %w", role, err)
 	}
 	_, err = io.Copy(io.Discard, lines)
 	return err
 }
 
-// reply answers a question of the control side.
-func reply(w http.ResponseWriter, answer any, err error) {
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // it fails if the asker has gone
-}
-
-// countingListener counts what passes over its connections.
-type countingListener struct {
-	net.Listener
-	c *counters
-}
-
-type countingConn struct {
-	net.Conn
-	c *counters
-}
-
-func (l countingListener) Accept() (net.Conn, error) {
-	conn, err := l.Listener.Accept()
+// start starts the service of a role and the control interface.
+func (s *standInServer) start(ctx context.Context, role string) (standInAddresses, *http.Server, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return standInAddresses{}, nil, fmt.Errorf("control: %w", err)
 	}
-	l.c.connections.Add(1)
-	return countingConn{conn, l.c}, nil
-}
-
-func (c countingConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.c.bytesReceived.Add(int64(n))
-	return n, err
-}
-
-func (c countingConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.c.bytesSent.Add(int64(n))
-	return n, err
-}
-
-// serve answers on an address.
-func serve(address string, c *counters, h http.Handler) (string, error) {
-	l, err := net.Listen("tcp", address)
+	s.control.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.counters.counts(), nil) })
+	service, err := s.startRole(role)
 	if err != nil {
-		return "", err
-	}
-	go func() { _ = http.Serve(countingListener{l, c}, h) }() // it ends with the process
-	return l.Addr().String(), nil
-}
-
-// runServers stands in for map servers: each answers with a body of bodySize, at once where service is 0. Then what a
-// call takes is what carrying it costs.
-func runServers(o standInConfig, c *counters) ([]string, error) {
-	body := []byte(strings.Repeat("x", responseBodyBytes))
-	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Request-Id") != "" {
-			c.requests.Add(1)
-		}
-		if err := wait(r.Context(), o.ServiceTime); err != nil {
-			return // the caller has gone
-		}
-		w.Header().Set("Content-Type", "application/octet-stream")
-		w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
-		_, _ = w.Write(body) // it fails if the caller has gone
-	})
-	var serves []string
-	for _, address := range o.Addresses {
-		at, err := serve(address, c, h)
-		if err != nil {
-			return nil, err
-		}
-		serves = append(serves, at)
-	}
-	return serves, nil
-}
-
-// listVersion is the version of the only list that there is.
-const listVersion = 1
-
-// endpointList is discovery's list of n servers that share some addresses in turns: a sidecar keeps what it knows of a
-// server, and its connections, by the server's name.
-func endpointList(n int, at []string, whole bool) []byte {
-	var out strings.Builder
-	fmt.Fprintf(&out, `{"generation":%d,"reset":%t,"instances":[`, listVersion, whole)
-	for i := range n {
-		if i > 0 {
-			out.WriteByte(',')
-		}
-		fmt.Fprintf(&out, `{"instanceId":"map-%05d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":"ready","weight":1.0,"startedAtMs":0,"machineType":"m4"}`,
-			i, at[i%len(at)], i/8)
+		return standInAddresses{}, nil, err
 	}
-	out.WriteString("]}")
-	return []byte(out.String())
+	server := &http.Server{Handler: s.control, BaseContext: func(net.Listener) context.Context { return ctx }}
+	go func() { _ = server.Serve(listener) }() // it returns when the process ends
+	return standInAddresses{listener.Addr().String(), service}, server, nil
 }
 
-// runDiscovery stands in for discovery. Nothing ever changes: a watch is held as long as it may be, and then
-// answered with no entries. GET /followed on the control side waits for the first watch that is held.
-func runDiscovery(o standInConfig, c *counters, mux *http.ServeMux) ([]string, error) {
-	if len(o.ServerAddresses) == 0 {
-		return nil, errors.New("no addresses to list")
-	}
-	whole, unchanged := endpointList(o.Servers, o.ServerAddresses, true), endpointList(0, o.ServerAddresses, false)
-	followed, once := make(chan struct{}), sync.Once{}
-	send := func(w http.ResponseWriter, answer []byte) {
-		w.Header().Set("Content-Type", "application/json")
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-		_, _ = w.Write(answer) // it fails if the sidecar has gone
-	}
-	at, err := serve("127.0.0.1:0", c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.requests.Add(1)
-		q := r.URL.Query()
-		if q.Get("index") != strconv.Itoa(listVersion) {
-			send(w, whole)
-			return
-		}
-		wait, err := strconv.Atoi(q.Get("wait"))
-		if err != nil {
-			http.Error(w, "wait: "+err.Error(), http.StatusBadRequest)
-			return
-		}
-		if wait > 1 {
-			once.Do(func() { close(followed) })
-		}
-		held := time.NewTimer(time.Duration(wait) * time.Millisecond)
-		defer held.Stop()
-		select {
-		case <-held.C:
-			send(w, unchanged)
-		case <-r.Context().Done():
-		}
-	}))
-	if err != nil {
-		return nil, err
+// startRole starts the service of a role and returns its addresses.
+func (s *standInServer) startRole(role string) ([]string, error) {
+	switch role {
+	case roleServer:
+		return s.runServers()
+	case roleDiscovery:
+		return s.runDiscovery()
+	case rolePeers:
+		return s.runPeers()
+	case roleLoad:
+		s.runLoadGenerator()
+		return nil, nil
 	}
-	mux.HandleFunc("GET /followed", func(w http.ResponseWriter, r *http.Request) {
-		select {
-		case <-followed:
-			reply(w, c.counts(), nil)
-		case <-r.Context().Done():
-		}
-	})
-	return []string{at}, nil
+	return nil, errors.New("unknown role")
 }
 
-// gossipLoad is an order to tell news as other sidecars do.
-type gossipLoad struct {
-	Target string  // where the sidecar listens
-	Rate   float64 // datagrams a second over all senders
-	Count  int     // datagrams
-	Seed   uint64  // of their times
-}
-
-// runPeers stands in for the other sidecars: it counts what comes to the address of them all, and POST /tell on the
-// control side has it send news, its senders by turns. The times are a Poisson process, which is what many senders,
-// each at its own pace, come to together.
-func runPeers(o standInConfig, c *counters, mux *http.ServeMux) ([]string, error) {
-	all, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// listen serves HTTP on an address and counts what passes. It returns the address with its port.
+func (s *standInServer) listen(address string, handler http.Handler) (string, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, err
-	}
-	go func() {
-		buf := make([]byte, gossip.Most+1)
-		for {
-			n, err := all.Read(buf)
-			if err != nil {
-				return
-			}
-			c.datagrams.Add(1)
-			c.bytesReceived.Add(int64(n))
-		}
-	}()
-	serves := []string{all.LocalAddr().String()}
-	var senders []*net.UDPConn
-	for _, address := range o.Addresses {
-		from, err := netip.ParseAddrPort(address)
-		if err != nil {
-			return nil, err
-		}
-		s, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(from))
-		if err != nil {
-			return nil, err
-		}
-		senders = append(senders, s)
-		serves = append(serves, s.LocalAddr().String())
+		return "", err
 	}
-	mux.HandleFunc("POST /tell", func(w http.ResponseWriter, r *http.Request) {
-		var t gossipLoad
-		err := json.NewDecoder(r.Body).Decode(&t)
-		if err == nil {
-			err = t.run(r.Context(), senders, c)
-		}
-		reply(w, c.counts(), err)
-	})
-	return serves, nil
+	go func() { _ = http.Serve(countingListener{listener, s.counters}, handler) }() // it returns when the process ends
+	return listener.Addr().String(), nil
 }
 
-func (t gossipLoad) run(ctx context.Context, senders []*net.UDPConn, c *counters) error {
-	to, err := netip.ParseAddrPort(t.Target)
+// reply responds to a call of the control interface.
+func reply(w http.ResponseWriter, response any, err error) {
 	if err != nil {
-		return err
-	}
-	if len(senders) == 0 || t.Rate <= 0 {
-		return errors.New("no senders, or no rate")
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
 	}
-	rng := rand.New(rand.NewPCG(t.Seed, 0))
-	at := time.Duration(0)
-	return runSchedule(ctx, t.Count, func(int) time.Duration {
-		at += time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second))
-		return at
-	}, func(i int, _ time.Time) error {
-		// A calm fleet: answers at a tenth of the aim.
-		news := policy.GossipMessage{SentAt: time.Duration(time.Now().UnixNano()), RequestRate: meanRequestRate, Responses: meanRequestRate, Congestion: 0.01}
-		n, err := senders[i%len(senders)].WriteToUDPAddrPort(gossip.Encode(news), to)
-		c.bytesSent.Add(int64(n))
-		return err
-	})
-}
-
-// runLoadGenerator makes loads: POST /load on the control side.
-func runLoadGenerator(o standInConfig, mux *http.ServeMux) {
-	client := newClient(o.MaxConnections)
-	mux.HandleFunc("POST /load", func(w http.ResponseWriter, r *http.Request) {
-		var l Load
-		if err := json.NewDecoder(r.Body).Decode(&l); err != nil {
-			reply(w, nil, err)
-			return
-		}
-		before, err := cpuTime(os.Getpid())
-		if err != nil {
-			reply(w, nil, err)
-			return
-		}
-		result, err := l.Run(r.Context(), client)
-		if err == nil {
-			result.CPU, err = cpuTime(os.Getpid())
-			result.CPU -= before
-		}
-		reply(w, result, err)
-	})
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(response) // it fails if the caller has disconnected
 }
--- /dev/null
+++ b/internal/sidecarbench/standin_servers.go
@@ -0,0 +1,36 @@
+package sidecarbench
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+// runServers stands in for servers. Each responds with a body of responseBodyBytes after ServiceTime; if that is 0, the
+// latency of a request is that of its transport.
+func (s *standInServer) runServers() ([]string, error) {
+	var addresses []string
+	for _, address := range s.config.Addresses {
+		bound, err := s.listen(address, s.serverHandler())
+		if err != nil {
+			return nil, err
+		}
+		addresses = append(addresses, bound)
+	}
+	return addresses, nil
+}
+
+func (s *standInServer) serverHandler() http.Handler {
+	body := []byte(strings.Repeat("x", responseBodyBytes))
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("X-Request-Id") != "" {
+			s.counters.requests.Add(1)
+		}
+		if err := wait(r.Context(), s.config.ServiceTime); err != nil {
+			return // the client has disconnected
+		}
+		w.Header().Set("Content-Type", "application/octet-stream")
+		w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
+		_, _ = w.Write(body) // it fails if the client has disconnected
+	})
+}
