--- a/internal/fleetsim/helpers_test.go
+++ b/internal/fleetsim/helpers_test.go
@@ -12,85 +12,107 @@
 
 // The classes of testConfig.
 const (
-	safeClass = iota
-	keyedClass
-	unsafeClass
+	idempotentClass = iota
+	idempotentByKeyClass
+	nonIdempotentClass
 )
 
-// testConfig is a service of n sidecars and as many servers in 6 zones and 2 regions, that is asked rate requests
-// a second of each sidecar. What servers, network and discovery take is assumed; the settings are like those of
-// the days at size, with a class that is unsafe.
-func testConfig(seed uint64, n int, rate float64) Config {
-	class := func(worth float64, e policy.Idempotency) policy.Class {
-		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
-	}
-	quota := 1.25 * max(rate, 0.1) * float64(n)
+// testConfig is a service with as many servers as sidecars in 6 zones and 2 regions. ratePerSidecar is in requests per
+// second. The settings of the Balancers are those of the fleet that docs/CAPACITY.md assumes, with a non-idempotent
+// class; the times of servers, network and discovery are assumed.
+func testConfig(seed uint64, sidecars int, ratePerSidecar float64) Config {
 	return Config{
-		Seed: seed, Sidecars: n, Servers: n, Zones: 6, Regions: 2, Offset: int(seed % 6),
-		Rate: rate * float64(n), Mix: []float64{0.5, 0.3, 0.2},
-		Server: Server{Cores: 2, Work: 27 * ms, Room: 5, Choke: 500 * ms, Rest: 800 * ms},
-		Network: Network{Zone: 250 * time.Microsecond, Cross: 500 * time.Microsecond, Region: 15 * ms,
-			DatagramSpread: 2 * ms, DatagramLoss: 0.01},
-		Discovery: &Discovery{Call: 100 * time.Microsecond, Line: 2 * time.Microsecond, Patience: 3 * time.Second,
-			Late: 100 * ms, Detect: 3 * time.Second},
-		Policy: policy.Config{
-			Classes: []policy.Class{class(1, policy.Idempotent), class(8, policy.IdempotentByKey), class(4, policy.NonIdempotent)},
-			Tenants: []policy.Tenant{{Weight: 0.42, Quota: 0.42 * quota}, {Weight: 0.33, Quota: 0.33 * quota},
-				{Weight: 0.25, Quota: 0.25 * quota}},
-			MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
-			PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
+		Seed: seed, Sidecars: sidecars, Servers: sidecars, Zones: 6, Regions: 2, FirstZone: int(seed % 6),
+		RequestRate: ratePerSidecar * float64(sidecars),
+		ClassMix:    []float64{idempotentClass: 0.5, idempotentByKeyClass: 0.3, nonIdempotentClass: 0.2},
+		Server: ServerConfig{
+			Cores: 2, ServiceTime: 27 * ms, OverloadQueue: 5, OverloadDelay: 500 * ms, RecoveryIdleTime: 800 * ms,
+		},
+		Network: NetworkConfig{
+			SameZoneDelay: 250 * time.Microsecond, CrossZoneDelay: 500 * time.Microsecond, CrossRegionDelay: 15 * ms,
+			DatagramJitter: 2 * ms, DatagramLoss: 0.01,
+		},
+		Discovery: &DiscoveryConfig{
+			CallTime: 100 * time.Microsecond, EntryTime: 2 * time.Microsecond, QueueTimeout: 3 * time.Second,
+			PropagationDelay: 100 * ms, FailureDetectionTime: 3 * time.Second,
 		},
+		Policy: testPolicy(1.25 * max(ratePerSidecar, 0.1) * float64(sidecars)),
+	}
+}
+
+// testPolicy is the Balancers' configuration, with a quota in requests per second that the tenants divide.
+func testPolicy(quota float64) policy.Config {
+	return policy.Config{
+		Classes: []policy.Class{
+			idempotentClass:      testClass(1, policy.Idempotent),
+			idempotentByKeyClass: testClass(8, policy.IdempotentByKey),
+			nonIdempotentClass:   testClass(4, policy.NonIdempotent),
+		},
+		Tenants: []policy.Tenant{
+			{Weight: 0.42, Quota: 0.42 * quota}, {Weight: 0.33, Quota: 0.33 * quota}, {Weight: 0.25, Quota: 0.25 * quota},
+		},
+		MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
+		PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
+	}
+}
+
+func testClass(priorityWeight float64, idempotency policy.Idempotency) policy.Class {
+	return policy.Class{
+		LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: priorityWeight,
+		Idempotency: idempotency, DedupWindow: 6 * time.Second,
 	}
 }
 
-func begin(t testing.TB, cfg Config) *Service {
+// newSimulation starts a simulation; an error fails the test.
+func newSimulation(t testing.TB, cfg Config) *Simulation {
 	t.Helper()
-	f, err := New(cfg)
+	sim, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return sim
 }
 
-// keptRules finds no rule broken, and no sidecar that could not start.
-func keptRules(t testing.TB, f *Service) {
+// checkInvariants fails the test for violations, and for sidecars that could not restart.
+func checkInvariants(t testing.TB, sim *Simulation) {
 	t.Helper()
-	if b := f.Broken(); b.Total() > 0 {
-		t.Errorf("rules broken %v: %q", b.Times, b.Detail)
+	if v := sim.Violations(); v.Total() > 0 {
+		t.Errorf("violations %v: %q", v.Counts, v.Details)
 	}
-	if err := f.Err(); err != nil {
+	if err := sim.Err(); err != nil {
 		t.Error(err)
 	}
 }
 
-// loseAZone plays a service that loses its last zone and gets it back.
-func loseAZone(f *Service, before, without, after time.Duration) {
-	f.Run(before)
-	f.LoseZone(f.cfg.Zones - 1)
-	f.Run(without)
-	f.ReturnZone(f.cfg.Zones - 1)
-	f.Run(after)
+// failLastZone runs a simulation before, during and after an outage of its last zone.
+func failLastZone(sim *Simulation, before, outage, after time.Duration) {
+	sim.Run(before)
+	sim.FailZone(sim.config.Zones - 1)
+	sim.Run(outage)
+	sim.RestoreZone(sim.config.Zones - 1)
+	sim.Run(after)
 }
 
-// partRegions plays regions that are apart for d, and then 30 s more. Meanwhile n of the servers are replaced, on
-// both sides.
-func partRegions(f *Service, n int, d time.Duration) {
-	f.Run(5 * time.Second)
-	f.PartRegions()
-	replaceSome(f, n, d)
-	f.Run(d)
-	f.JoinRegions()
-	f.Run(30 * time.Second)
+// partitionRegions runs a simulation with a partition of its regions for d, and for 30 s after it. During the
+// partition n servers are replaced, on both sides.
+func partitionRegions(sim *Simulation, n int, d time.Duration) {
+	sim.Run(5 * time.Second)
+	sim.PartitionRegions()
+	replaceServers(sim, n, d)
+	sim.Run(d)
+	sim.HealPartition()
+	sim.Run(30 * time.Second)
 }
 
-// replaceSome has n servers and their sidecars replaced within d, evenly spread over time and servers.
-func replaceSome(f *Service, n int, d time.Duration) {
+// replaceServers schedules the replacement of n servers and their sidecars, evenly over d and over all servers.
+func replaceServers(sim *Simulation, n int, d time.Duration) {
+	const grace, downtime = 8 * time.Second, 2 * time.Second
 	for k := range n {
-		f.clock.after(d*time.Duration(k)/time.Duration(n), func() {
-			f.Replace(k*len(f.servers)/n, 8*time.Second, 2*time.Second)
+		sim.clock.after(d*time.Duration(k)/time.Duration(n), func() {
+			sim.Replace(k*len(sim.servers)/n, grace, downtime)
 		})
 	}
 }
 
-// longest is the longest time until all knew of a change, and 0 where there was none.
-func longest(known []time.Duration) time.Duration { return slices.Max(append(known, 0)) }
+// maxDuration is the maximum of durations, and 0 if there is none.
+func maxDuration(durations []time.Duration) time.Duration { return slices.Max(append(durations, 0)) }
