--- a/internal/fleetsim/config.go
+++ b/internal/fleetsim/config.go
@@ -21,7 +21,7 @@
 	// is in zone 0.
 	Zones int
 
-	// FirstZone is the zone of sidecar 0 and of server 0. Default: 0.
+	// FirstZone is the zone of sidecar 0 and of server 0, at least 0. Default: 0.
 	FirstZone int
 
 	// Regions is the number of regions, from 1 to Zones. Each is a contiguous range of zones.
@@ -34,10 +34,12 @@
 	// ClassMix is the fraction of requests of each class in Policy.Classes, in the same order.
 	ClassMix []float64
 
-	// HighRateSidecars is how many sidecars, from index 0 on, get HighRate requests per second each, beside
-	// RequestRate. Their processor time is counted separately. Default: 0.
+	// HighRateSidecars is how many sidecars, from index 0 on, get HighRate instead of a part of RequestRate. Their
+	// processor time is counted separately. Default: 0.
 	HighRateSidecars int
-	HighRate         float64
+
+	// HighRate is the rate of each of the HighRateSidecars, in requests per second. Default: 0.
+	HighRate float64
 
 	// Policy configures the Balancers. Balancers, Index and Zone are set for each sidecar by the simulation.
 	Policy policy.Config
@@ -74,6 +76,8 @@
 	// OverloadQueue is the number of requests for each core, queued or executing, above which a server becomes
 	// overloaded after OverloadDelay. Default: 0.
 	OverloadQueue int
+
+	// OverloadDelay is how long the queue has to be above OverloadQueue for an overload. Default: 0.
 	OverloadDelay time.Duration
 
 	// RecoveryIdleTime is the idle time that ends an overload. Default: 0.
@@ -82,7 +86,8 @@
 
 // NetworkConfig describes delays and losses. The zero value delivers everything at once and loses nothing.
 type NetworkConfig struct {
-	// One-way delays within a zone, to another zone of the region and to another region.
+	// SameZoneDelay, CrossZoneDelay and CrossRegionDelay are the one-way delays within a zone, to another zone of the
+	// region and to another region.
 	SameZoneDelay, CrossZoneDelay, CrossRegionDelay time.Duration
 
 	// DatagramMinDelay is what a datagram takes in addition to the one-way delay.
@@ -91,11 +96,11 @@
 	// DatagramJitter is the upper bound of a further delay of each datagram, uniform in 20 steps.
 	DatagramJitter time.Duration
 
-	// DatagramLoss is the fraction of datagrams that are lost.
+	// DatagramLoss is the fraction of datagrams that are lost, from 0 to 1.
 	DatagramLoss float64
 }
 
-// DiscoveryConfig describes the discovery service, which processes calls one at a time.
+// DiscoveryConfig describes the discovery service, which processes calls one at a time. All times are 0 by default.
 type DiscoveryConfig struct {
 	// CallTime is the processing time of a call, and EntryTime of each entry of its response.
 	CallTime, EntryTime time.Duration
--- a/internal/fleetsim/counts.go
+++ b/internal/fleetsim/counts.go
@@ -44,11 +44,11 @@
 	Requests        int
 	WithinObjective int // answered within the latency objective
 	ObjectiveMissed int // answered after it
-	Rejected        int // shed, without a retry of the client that was admitted
+	Rejected        int // shed, and not retried by the client any more
 	Failed          int
 }
 
-// Add adds other counts.
+// Add adds other counts, for instance those of another service.
 func (c *Counts) Add(other *Counts) {
 	c.Gossip.merge(other.Gossip)
 	c.EndpointLists.merge(other.EndpointLists)
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -13,6 +13,9 @@
 // noVersion is the version of an endpoint list that is not there. A call with it gets the complete list.
 const noVersion = int64(-1)
 
+// cells is the number of cells that servers are assigned to, round robin.
+const cells = 4
+
 // serversPerSubnet is how many servers share the first three bytes of their IP address.
 const serversPerSubnet = 250
 
@@ -82,7 +85,7 @@
 	server := d.sim.servers[i]
 	d.entries[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":%.3f}`,
-		server.name, server.zone, i/serversPerSubnet, 1+i%serversPerSubnet, zoneName(server.zone), i%4,
+		server.name, server.zone, i/serversPerSubnet, 1+i%serversPerSubnet, zoneName(server.zone), i%cells,
 		lifecycle(d.states[i]), float64(server.startedAt.Microseconds())/1000)
 }
 
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -7,7 +7,7 @@
 	"cranehatch/policy"
 )
 
-// StartDiscoveryOutage makes all calls of discovery fail, those in progress included.
+// StartDiscoveryOutage makes all calls of discovery fail, those in progress included. Config.Discovery must be set.
 func (sim *Simulation) StartDiscoveryOutage() { sim.discovery.startOutage() }
 
 // EndDiscoveryOutage ends the outage. The endpoint list is as before.
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -28,6 +28,7 @@
 	invariantCount
 )
 
+// String returns a short name for messages.
 func (i Invariant) String() string {
 	return [invariantCount]string{"single response", "at most once", "no send while draining", "slow-start budget"}[i]
 }
--- a/internal/sidecarbench/idle.go
+++ b/internal/sidecarbench/idle.go
@@ -32,25 +32,19 @@
 		}
 		testbeds = append(testbeds, tb)
 	}
-	before, err := idleUsages(ctx, testbeds)
-	if err != nil {
-		return nil, err
-	}
-	if err := wait(ctx, d); err != nil {
-		return nil, err
-	}
-	after, err := idleUsages(ctx, testbeds)
+	usages, err := measureIdleUsage(ctx, testbeds, d)
 	if err != nil {
 		return nil, err
 	}
 	for i, tb := range testbeds {
+		before, after := usages[i].before, usages[i].after
 		costs = append(costs, IdleCost{
 			StartCost: tb.startCost,
 			Duration:  d,
-			CPU:       after[i].cpu - before[i].cpu,
-			Memory:    after[i].memory,
-			Discovery: after[i].discovery.minus(before[i].discovery),
-			Gossip:    after[i].gossip.minus(before[i].gossip),
+			CPU:       after.cpu - before.cpu,
+			Memory:    after.memory,
+			Discovery: after.discovery.minus(before.discovery),
+			Gossip:    after.gossip.minus(before.gossip),
 		})
 	}
 	return costs, nil
@@ -63,15 +57,27 @@
 	discovery, gossip Counts
 }
 
-func idleUsages(ctx context.Context, testbeds []*testbed) (usages []idleUsage, err error) {
-	for _, tb := range testbeds {
-		u, err := tb.idleUsage(ctx)
-		if err != nil {
+// idleInterval is the usage of a sidecar before and after an interval.
+type idleInterval struct{ before, after idleUsage }
+
+// measureIdleUsage measures all sidecars before and after d.
+func measureIdleUsage(ctx context.Context, testbeds []*testbed, d time.Duration) ([]idleInterval, error) {
+	intervals := make([]idleInterval, len(testbeds))
+	var err error
+	for i, tb := range testbeds {
+		if intervals[i].before, err = tb.idleUsage(ctx); err != nil {
+			return nil, err
+		}
+	}
+	if err := wait(ctx, d); err != nil {
+		return nil, err
+	}
+	for i, tb := range testbeds {
+		if intervals[i].after, err = tb.idleUsage(ctx); err != nil {
 			return nil, err
 		}
-		usages = append(usages, u)
 	}
-	return usages, nil
+	return intervals, nil
 }
 
 func (tb *testbed) idleUsage(ctx context.Context) (u idleUsage, err error) {
@@ -84,18 +90,3 @@
 	u.gossip, err = tb.peers.counts(ctx)
 	return u, err
 }
-
-// wait waits for d, or returns the error of ctx if that ends before.
-func wait(ctx context.Context, d time.Duration) error {
-	if d <= 0 {
-		return ctx.Err()
-	}
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/internal/sidecarbench/schedule.go
+++ b/internal/sidecarbench/schedule.go
@@ -58,3 +58,18 @@
 		}
 	}
 }
+
+// wait waits for d, or returns the error of ctx if that ends before.
+func wait(ctx context.Context, d time.Duration) error {
+	if d <= 0 {
+		return ctx.Err()
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
