--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,6 +14,7 @@
 	"strings"
 	"time"
 
+	"cranehatch/internal/endpointlist"
 	"cranehatch/internal/simprotocol"
 	"cranehatch/policy"
 )
@@ -46,7 +47,7 @@
 	MaxDeadline       time.Duration // the longest deadline of any class
 	DrainGrace        time.Duration // within this, sends to a server that leaves must stop; 0: not known
 
-	CachedEndpoints endpointUpdate // the servers as last known
+	CachedEndpoints endpointlist.List // the servers as last known
 }
 
 // ReadConfig reads the file that EDGE_CONFIG names. What the environment says in EDGE_NAME,
@@ -122,7 +123,7 @@
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if c.CachedEndpoints, err = parseEndpoints(file.Known, c.Zones); err != nil {
+		if c.CachedEndpoints, err = endpointlist.Parse(file.Known, c.Zones); err != nil {
 			// It may be old at best, and discovery has the whole one: no reason to serve nobody.
 			slog.Error("the list of servers last known can't be used, discovery is asked for the whole", "error",
 				fmt.Errorf("config: known: %w", err))
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -11,7 +11,7 @@
 
 func TestConfig(t *testing.T) {
 	c := testConfig(t, listed(41, "ready", "127.0.0.1:80"), nil)
-	if c.Seed != 0x8c1f30d27a5be964 || c.ServerIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.CachedEndpoints.version != 41 ||
+	if c.Seed != 0x8c1f30d27a5be964 || c.ServerIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.CachedEndpoints.Version != 41 ||
 		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxInFlight != 100 {
 		t.Errorf("config %+v", c)
 	}
@@ -41,8 +41,8 @@
 		if strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "config: known: ") {
 			t.Errorf("%s: log %q, want one line that names it", known, &log)
 		}
-		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.endpoints) > 0 || d.version >= 0 {
-			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.endpoints), d.version)
+		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.Servers) > 0 || d.version >= 0 {
+			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.Servers), d.version)
 		}
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -13,8 +13,7 @@
 	"sync"
 	"time"
 
-	hosts "cranehatch/internal/endpointlist"
-	"cranehatch/policy"
+	"cranehatch/internal/endpointlist"
 )
 
 const (
@@ -38,25 +37,11 @@
 // errInvalidResponse is an answer that can't be read.
 var errInvalidResponse = errors.New("the answer is unusable")
 
-// endpointUpdate is one answer of discovery.
-type endpointUpdate struct {
-	version   int64
-	complete  bool
-	endpoints []policy.Endpoint
-	addresses map[policy.EndpointID]string
-}
-
-// parseEndpoints reads an answer. One malformed entry makes the whole answer unusable.
-func parseEndpoints(raw []byte, zones map[string]int) (endpointUpdate, error) {
-	l, err := hosts.Parse(raw, zones)
-	return endpointUpdate{version: l.Version, complete: l.Whole, endpoints: l.Servers, addresses: l.Address}, err
-}
-
 // discoveryClient follows the list of servers and hands what it learns to the loop.
 type discoveryClient struct {
 	zones   map[string]int
 	polls   chan struct{} // where the list must be asked for: the module did
-	updated func(endpointUpdate)
+	updated func(endpointlist.List)
 	failed  func()
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -74,7 +59,7 @@
 	idleAddress   string             // the address that it is to
 }
 
-func newDiscoveryClient(cfg *Config, heard func(endpointUpdate), failed func()) *discoveryClient {
+func newDiscoveryClient(cfg *Config, heard func(endpointlist.List), failed func()) *discoveryClient {
 	d := &discoveryClient{address: cfg.Discovery, zones: cfg.Zones, updated: heard, failed: failed, version: -1,
 		drawWatchTime: watchTime, watchGrace: watchGracePeriod, callInterval: hedgedCallInterval, maxBackoff: maxBackoff}
 	if cfg.DrainGrace > 0 { // where lists are pushed, what has changed counts as told at once
@@ -83,8 +68,8 @@
 	if !cfg.Policy.PollsEndpoints {
 		d.callInterval = min(d.callInterval, 2*d.maxBackoff)
 	}
-	if len(cfg.CachedEndpoints.endpoints) > 0 {
-		d.version = cfg.CachedEndpoints.version
+	if len(cfg.CachedEndpoints.Servers) > 0 {
+		d.version = cfg.CachedEndpoints.Version
 	}
 	if cfg.Policy.PollsEndpoints {
 		d.polls = make(chan struct{}, 1)
@@ -193,7 +178,7 @@
 	silent := false
 	for {
 		query, watching := "", false
-		var l endpointUpdate
+		var l endpointlist.List
 		var err error
 		switch {
 		case d.version >= 0 && heard && !silent:
@@ -210,8 +195,8 @@
 			slog.Warn("discovery", "error", errWatchTimeout)
 			continue
 		}
-		if err == nil && !l.complete && query != "" && l.version < d.version { // begun anew: they mean something else now
-			err = fmt.Errorf("%w: its version went from %d to %d", errInvalidResponse, d.version, l.version)
+		if err == nil && !l.Whole && query != "" && l.Version < d.version { // begun anew: they mean something else now
+			err = fmt.Errorf("%w: its version went from %d to %d", errInvalidResponse, d.version, l.Version)
 		}
 		if errors.Is(err, errInvalidResponse) {
 			d.version = -1 // nothing that it said of changes is to be built on
@@ -219,14 +204,14 @@
 		if err != nil {
 			return heard, err
 		}
-		l.complete = l.complete || query == "" // that call asked for the whole list
-		heard, d.version = true, l.version
+		l.Whole = l.Whole || query == "" // that call asked for the whole list
+		heard, d.version = true, l.Version
 		d.updated(l)
 	}
 }
 
 // watch makes a call that may wait, and gives it up after limit.
-func (d *discoveryClient) watch(ctx context.Context, address, query string, limit time.Duration) (endpointUpdate, error) {
+func (d *discoveryClient) watch(ctx context.Context, address, query string, limit time.Duration) (endpointlist.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return d.call(ctx, address, query)
@@ -238,11 +223,11 @@
 // discovery can be reached; with a new call every 2 s the last 4 s are left for its turn. Where lists are pushed
 // it counts at once, and discovery serves this sidecar alone: there new calls come sooner. It fails once all
 // calls have.
-func (d *discoveryClient) fetch(ctx context.Context, address, query string) (endpointUpdate, error) {
+func (d *discoveryClient) fetch(ctx context.Context, address, query string) (endpointlist.List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
-		l   endpointUpdate
+		l   endpointlist.List
 		err error
 	}
 	answers, out := make(chan answer), 0
@@ -276,7 +261,7 @@
 		case <-again.C:
 			begin()
 		case <-ctx.Done():
-			return endpointUpdate{}, ctx.Err()
+			return endpointlist.List{}, ctx.Err()
 		}
 	}
 }
@@ -284,10 +269,10 @@
 // call makes one call, over the connection that an earlier one left or over a new one. It is not net/http's client
 // because that calls again by itself when a kept connection breaks: a watch that was reset would be opened again
 // unseen, and what came in between be read only when that ends.
-func (d *discoveryClient) call(ctx context.Context, address, query string) (endpointUpdate, error) {
+func (d *discoveryClient) call(ctx context.Context, address, query string) (endpointlist.List, error) {
 	c, err := d.connect(ctx, address)
 	if err != nil {
-		return endpointUpdate{}, err
+		return endpointlist.List{}, err
 	}
 	alive := context.AfterFunc(ctx, func() { c.Close() })
 	l, keep, err := d.roundTrip(c, address, query)
@@ -303,9 +288,9 @@
 }
 
 // roundTrip writes a call and reads its answer, and tells whether the connection may be used again.
-func (d *discoveryClient) roundTrip(c net.Conn, address, query string) (l endpointUpdate, keep bool, err error) {
+func (d *discoveryClient) roundTrip(c net.Conn, address, query string) (l endpointlist.List, keep bool, err error) {
 	if _, err := fmt.Fprintf(c, "GET /discovery/hosts%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, address); err != nil {
-		return endpointUpdate{}, false, err
+		return endpointlist.List{}, false, err
 	}
 	r := bufio.NewReader(io.LimitReader(c, maxHeaderBytes+maxListBytes+1))
 	res, err := http.ReadResponse(r, nil)
@@ -313,20 +298,20 @@
 		res, err = http.ReadResponse(r, nil)
 	}
 	if err != nil {
-		return endpointUpdate{}, false, err
+		return endpointlist.List{}, false, err
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes+1))
 	keep = err == nil && !res.Close && r.Buffered() == 0
 	switch {
 	case err != nil:
-		return endpointUpdate{}, false, err
+		return endpointlist.List{}, false, err
 	case res.StatusCode != http.StatusOK:
-		return endpointUpdate{}, keep, fmt.Errorf("answered %s", res.Status)
+		return endpointlist.List{}, keep, fmt.Errorf("answered %s", res.Status)
 	case len(body) > maxListBytes:
-		return endpointUpdate{}, false, fmt.Errorf("%w: it is too long", errInvalidResponse)
+		return endpointlist.List{}, false, fmt.Errorf("%w: it is too long", errInvalidResponse)
 	}
-	if l, err = parseEndpoints(body, d.zones); err != nil {
-		return endpointUpdate{}, keep, fmt.Errorf("%w: %w", errInvalidResponse, err)
+	if l, err = endpointlist.Parse(body, d.zones); err != nil {
+		return endpointlist.List{}, keep, fmt.Errorf("%w: %w", errInvalidResponse, err)
 	}
 	return l, keep, nil
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -16,6 +16,7 @@
 	"testing/synctest"
 	"time"
 
+	"cranehatch/internal/endpointlist"
 	"cranehatch/policy"
 )
 
@@ -39,8 +40,8 @@
 	cfg := testConfig(t, listed(0, "ready"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
-	heard, failed := make(chan endpointUpdate, 100), make(chan struct{}, 100)
-	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { failed <- struct{}{} })
+	heard, failed := make(chan endpointlist.List, 100), make(chan struct{}, 100)
+	d := newDiscoveryClient(cfg, func(l endpointlist.List) { heard <- l }, func() { failed <- struct{}{} })
 	d.drawWatchTime = func() time.Duration { return generous } // drawn anew for each watch, and here all of one length
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -55,8 +56,8 @@
 	}
 	news := func(version int64, whole bool) {
 		t.Helper()
-		if l := wait(t, "a list", heard); l.version != version || l.complete != whole {
-			t.Fatalf("version %d, whole %v, want %d, %v", l.version, l.complete, version, whole)
+		if l := wait(t, "a list", heard); l.Version != version || l.Whole != whole {
+			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Whole, version, whole)
 		}
 	}
 	step("", say(listed(41, "ready", "127.0.0.1:80")))
@@ -98,8 +99,8 @@
 	cfg := testConfig(t, listed(41, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
-	heard := make(chan endpointUpdate, 100)
-	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() {})
+	heard := make(chan endpointlist.List, 100)
+	d := newDiscoveryClient(cfg, func(l endpointlist.List) { heard <- l }, func() {})
 	d.drawWatchTime = func() time.Duration { return generous }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -123,8 +124,8 @@
 			t.Fatalf("call %d: %q, want %q", n, got, step.query)
 		}
 		if step.told {
-			if l := wait(t, "a list", heard); l.complete != step.whole {
-				t.Fatalf("call %d: whole %v, want %v", n, l.complete, step.whole)
+			if l := wait(t, "a list", heard); l.Whole != step.whole {
+				t.Fatalf("call %d: whole %v, want %v", n, l.Whole, step.whole)
 			}
 		}
 	}
@@ -155,8 +156,8 @@
 		file["discovery"] = server.Listener.Addr().String()
 		settings["discovery"] = "ask"
 	})
-	heard := make(chan endpointUpdate, 100)
-	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { t.Error("told the module of a failure") })
+	heard := make(chan endpointlist.List, 100)
+	d := newDiscoveryClient(cfg, func(l endpointlist.List) { heard <- l }, func() { t.Error("told the module of a failure") })
 	waits := make(chan time.Duration, 2)
 	waits <- 5 * time.Millisecond
 	waits <- generous
@@ -170,10 +171,10 @@
 			t.Fatalf("called %q, want %q", got, want)
 		}
 	}
-	if l := wait(t, "the list", heard); l.endpoints[0].State != policy.Ready {
+	if l := wait(t, "the list", heard); l.Servers[0].State != policy.Ready {
 		t.Errorf("first %+v", l)
 	}
-	if l := wait(t, "the news", heard); l.endpoints[0].State != policy.Draining {
+	if l := wait(t, "the news", heard); l.Servers[0].State != policy.Draining {
 		t.Errorf("after the silence %+v", l)
 	}
 	cancel()
@@ -187,9 +188,9 @@
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := testConfig(t, listed(41, "ready", "127.0.0.1:80"), func(_, settings map[string]any) { settings["discovery"] = "ask" })
-			heard := make(chan endpointUpdate, 1)
-			d := newDiscoveryClient(cfg, func(l endpointUpdate) {
-				if l.version == 42 {
+			heard := make(chan endpointlist.List, 1)
+			d := newDiscoveryClient(cfg, func(l endpointlist.List) {
+				if l.Version == 42 {
 					heard <- l
 				}
 			}, func() { t.Error("told the module of a failure") })
@@ -267,7 +268,7 @@
 		settings["discovery"] = "ask"
 	})
 	failed := make(chan struct{}, 100)
-	d := newDiscoveryClient(cfg, func(endpointUpdate) {}, func() { failed <- struct{}{} })
+	d := newDiscoveryClient(cfg, func(endpointlist.List) {}, func() { failed <- struct{}{} })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.run(ctx)
@@ -300,8 +301,8 @@
 	}
 	before, after := serve(50), serve(3)
 	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) { file["discovery"] = before })
-	heard := make(chan endpointUpdate, 100)
-	d := newDiscoveryClient(cfg, func(l endpointUpdate) { heard <- l }, func() { t.Error("failed") })
+	heard := make(chan endpointlist.List, 100)
+	d := newDiscoveryClient(cfg, func(l endpointlist.List) { heard <- l }, func() { t.Error("failed") })
 	d.drawWatchTime = func() time.Duration { return generous }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -326,8 +327,8 @@
 	expect("3 ")
 	expect("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if l := wait(t, "a list", heard); !l.complete || l.version != version {
-			t.Errorf("version %d, whole %v, want %d as a whole", l.version, l.complete, version)
+		if l := wait(t, "a list", heard); !l.Whole || l.Version != version {
+			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Whole, version)
 		}
 	}
 }
@@ -339,7 +340,7 @@
 	l.transport.minIdle = 0
 	old := l.endpoints[serverID("s-0")]
 	attempt(t, l.transport, old, "1", generous)
-	l.applyEndpoints(endpointUpdate{endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}}, addresses: map[policy.EndpointID]string{7: s.address}}, policy.DeltaUpdate)
+	l.applyEndpoints(endpointlist.List{Servers: []policy.Endpoint{{ID: 7, State: policy.Ready}}, Address: map[policy.EndpointID]string{7: s.address}}, policy.DeltaUpdate)
 	attempt(t, l.transport, l.endpoints[7], "2", generous)
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn == second.conn {
 		t.Error("the new server's request went over the old one's connection")
@@ -351,7 +352,7 @@
 func TestListMovesServers(t *testing.T) {
 	l := idleLoop(t, "127.0.0.1:81")
 	id := serverID("s-0")
-	moved, err := parseEndpoints([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
+	moved, err := endpointlist.Parse([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,16 +360,16 @@
 	if l.endpoints[id].address != "127.0.0.1:82" {
 		t.Errorf("address %q after the move", l.endpoints[id].address)
 	}
-	l.applyEndpoints(endpointUpdate{}, policy.DeltaUpdate)
+	l.applyEndpoints(endpointlist.List{}, policy.DeltaUpdate)
 	if len(l.endpoints) != 1 {
 		t.Errorf("addresses %v after no change", l.endpoints)
 	}
-	l.applyEndpoints(endpointUpdate{endpoints: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
+	l.applyEndpoints(endpointlist.List{Servers: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
 	if len(l.endpoints) != 0 {
 		t.Errorf("addresses %v, the server is gone", l.endpoints)
 	}
 	l.applyEndpoints(moved, policy.DeltaUpdate)
-	l.applyEndpoints(endpointUpdate{complete: true}, policy.FullUpdate)
+	l.applyEndpoints(endpointlist.List{Whole: true}, policy.FullUpdate)
 	if len(l.endpoints) != 0 {
 		t.Errorf("addresses %v after a whole list of none", l.endpoints)
 	}
--- a/internal/sidecar/endings_test.go
+++ b/internal/sidecar/endings_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"cranehatch/internal/endpointlist"
 	"cranehatch/policy"
 )
 
@@ -62,7 +63,7 @@
 // list has the loop take news of servers in one state, at addresses, named by their number from 0.
 func (l *eventLoop) listAll(t *testing.T, lifecycle string, addresses ...string) {
 	t.Helper()
-	news, err := parseEndpoints([]byte(listed(2, lifecycle, addresses...)), nil)
+	news, err := endpointlist.Parse([]byte(listed(2, lifecycle, addresses...)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +304,7 @@
 				"X-Timeout", "Content-Length: 0\r\nX-Timeout").Replace(look("one")))
 			l.next(t)
 			wait(t, "the first call", dialling)
-			news, err := parseEndpoints([]byte(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[
+			news, err := endpointlist.Parse([]byte(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[
 				{"instanceId":"s-0","hostPort":%q,"lifecycle":%q},{"instanceId":"s-1","hostPort":%q,"lifecycle":"ready"}]}`,
 				s.address, lifecycle, other.address)), nil)
 			if err != nil {
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -1,10 +1,15 @@
 package sidecar
 
 import (
+	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
+	"reflect"
+	"strings"
 	"testing"
 	"time"
+	"unicode"
 
 	"cranehatch/policy"
 )
@@ -191,3 +196,32 @@
 		t.Errorf("the moment %v is %v after the start", last, got)
 	}
 }
+
+// Guards against a counter that is added to the policy and forgotten in the log line, where on-call would miss it.
+func TestEachPolicyCounterIsLogged(t *testing.T) {
+	var counters policy.Counters
+	fields := reflect.ValueOf(&counters).Elem()
+	for i := range fields.NumField() {
+		fields.Field(i).SetUint(uint64(1000 + i))
+	}
+	var log strings.Builder
+	slog.New(slog.NewTextHandler(&log, nil)).Info("counters", policyCounters(counters))
+	for i := range fields.NumField() {
+		want := fmt.Sprintf(" policy.%s=%d", snakeCase(fields.Type().Field(i).Name), 1000+i)
+		if !strings.Contains(log.String(), want) {
+			t.Errorf("log %q, want%s", &log, want)
+		}
+	}
+}
+
+// snakeCase turns SlowStart into slow_start.
+func snakeCase(name string) string {
+	var out strings.Builder
+	for i, r := range name {
+		if unicode.IsUpper(r) && i > 0 {
+			out.WriteByte('_')
+		}
+		out.WriteRune(unicode.ToLower(r))
+	}
+	return out.String()
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -78,7 +78,7 @@
 		slog.Error("other sidecars can't be heard", "error", err)
 	}
 	l.peers = p
-	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(cfg.CachedEndpoints.endpoints))
+	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "servers", len(cfg.CachedEndpoints.Servers))
 
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	hosts "cranehatch/internal/endpointlist"
+	"cranehatch/internal/endpointlist"
 	"cranehatch/policy"
 )
 
@@ -243,4 +243,4 @@
 }
 
 // serverID names a server by its instanceId.
-func serverID(instance string) policy.EndpointID { return hosts.ServerID(instance) }
+func serverID(instance string) policy.EndpointID { return endpointlist.ServerID(instance) }
