--- /dev/null
+++ b/internal/sidecar/discovery_reload.go
@@ -0,0 +1,37 @@
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+)
+
+// reload takes discovery's address from the configuration file as it is now, and nothing else: the rest holds until
+// the next start. A file that can't be used changes nothing. serve calls it at SIGHUP.
+func (d *discoveryClient) reload(path string) {
+	cfg, err := ReadConfig(path)
+	if err != nil {
+		slog.Error("the new configuration can't be used, the old one stays", "error", err)
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	slog.Info("configuration read again", "discovery", cfg.Discovery, "before", d.address)
+	if cfg.Discovery == d.address {
+		return
+	}
+	d.address = cfg.Discovery
+	if d.stopFollowing != nil {
+		d.stopFollowing()
+	}
+}
+
+// followedAddress returns the address to follow, and a context that ends when reload brings another.
+func (d *discoveryClient) followedAddress(ctx context.Context) (context.Context, string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.stopFollowing != nil {
+		d.stopFollowing()
+	}
+	ctx, d.stopFollowing = context.WithCancel(ctx)
+	return ctx, d.address
+}
