--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,16 +1,13 @@
-// Package sidecar puts the decision module on real sockets: it takes an application's requests, asks
-// the module where each should go, and carries that out. It decides nothing itself.
+// Package sidecar runs the decisions of package policy on real sockets: it takes an application's requests, asks the
+// policy which server each should go to, and carries that out. It decides nothing itself.
 package sidecar
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math"
-	"net"
 	"net/netip"
 	"os"
-	"strconv"
 	"strings"
 	"time"
 
@@ -19,43 +16,63 @@
 	"cranehatch/policy"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is a sidecar's configuration, in the terms of this code. The file's names for these values, and those of
+// the environment, are in configFile and Config's methods; they appear nowhere else.
 type Config struct {
 	Path      string // of the file it was read from
-	Name      string
-	Listen    string // where the application connects
-	Discovery string // address of discovery
-	Seed      uint64
-
-	PeerListen    netip.AddrPort         // where other sidecars' datagrams arrive; not valid: nowhere
-	PeerBroadcast netip.AddrPort         // from where one goes to all of them
-	Peers         map[netip.AddrPort]int // the number of each by the address that it sends from
-
-	MemoryMB       int // the process is killed above this; 0: no limit is known
-	MaxDescriptors int // descriptors it may hold
-
-	Policy       policy.Config
-	Classes      map[string]int // class by name
-	Tenants      map[string]int // tenant by name; empty where there are none
-	Zones        map[string]int // zone by name
-	ReportFields []string       // names of a load report's fields, in the order of Columns
-	ReportFormat simprotocol.Columns
-
-	MaxInFlight       int           // requests held at once
-	ServerIdleTimeout time.Duration // an upstream closes connections that stood idle so long
-	DialTimeout       time.Duration
-	MaxDeadline       time.Duration // the longest deadline of any class
-	DrainGrace        time.Duration // within this, sends to a server that leaves must stop; 0: not known
-
-	CachedEndpoints endpointlist.List // the servers as last known
+	Name      string // of this sidecar, for the log
+	Listen    string // host:port where the application connects
+	Discovery string // host:port of discovery
+	Seed      uint64 // of the policy's random choices
+
+	PeerListen    netip.AddrPort         // where gossip of other sidecars arrives; not valid: nowhere
+	PeerBroadcast netip.AddrPort         // from where a datagram goes to all of them
+	Peers         map[netip.AddrPort]int // a peer's number by the address it sends from
+
+	MemoryMB       int // the platform kills the process above this many MiB; 0: no limit is known
+	MaxDescriptors int // file descriptors that the process may hold
+
+	Policy          policy.Config
+	Classes         map[string]int      // class index by name
+	Tenants         map[string]int      // tenant index by name; empty where there are none
+	Zones           map[string]int      // zone index by name
+	ReportFields    []string            // names of a load report's fields, in the order of ReportFormat
+	ReportFormat    simprotocol.Columns // what each field of a load report means
+	MaxInFlight     int                 // requests open at once; 0: no limit
+	MaxDeadline     time.Duration       // the longest deadline of any class
+	DialTimeout     time.Duration       // for a connection to a server, and for a health check
+	CachedEndpoints endpointlist.List   // as last known, maybe old; used until discovery responds
+
+	// ServerIdleTimeout is after how long servers close an idle connection; the transport closes it a little before.
+	ServerIdleTimeout time.Duration
+
+	// DrainGrace is the time from the announcement of a drain in which sends to that server must stop; 0: not known.
+	// Sends stop when the update arrives, whatever this value. It decides one thing: how long the discovery client
+	// may pause between two calls where lists are pushed, see newDiscoveryClient.
+	DrainGrace time.Duration
+}
+
+// ConfigError says which field of the configuration cannot be used, and why.
+type ConfigError struct {
+	Field string // as the file or the environment names it; empty: Err names it
+	Err   error
+}
+
+func (e *ConfigError) Error() string {
+	if e.Field == "" {
+		return "config: " + e.Err.Error()
+	}
+	return "config: " + e.Field + ": " + e.Err.Error()
 }
 
-// ReadConfig reads the file that EDGE_CONFIG names. What the environment says in EDGE_NAME,
-// EDGE_LISTEN and EDGE_DISCOVERY stands in for what the file leaves out.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// ReadConfig reads the configuration file. Its path is the value of the environment variable EDGE_CONFIG. Every error
+// is a *ConfigError.
 func ReadConfig(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return nil, &ConfigError{Field: "EDGE_CONFIG", Err: err}
 	}
 	c, err := parseConfig(raw, os.Getenv)
 	if err != nil {
@@ -65,144 +82,115 @@
 	return c, nil
 }
 
+// parseConfig reads a configuration file's content; env looks up an environment variable.
 func parseConfig(raw []byte, env func(string) string) (*Config, error) {
-	var file struct {
-		Name, Listen, Discovery, Seed string
-		PeerListen                    string `json:"peer_listen"`
-		PeersAll                      string `json:"peers_all"`
-		Peers                         []string
-		Limits                        struct {
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  float64
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(raw, &file); err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
-	}
-	given := func(value, variable string) string {
-		if value == "" {
-			return env(variable)
-		}
-		return value
-	}
-	c := &Config{
-		Name:           given(file.Name, "EDGE_NAME"),
-		Listen:         given(file.Listen, "EDGE_LISTEN"),
-		Discovery:      given(file.Discovery, "EDGE_DISCOVERY"),
-		MemoryMB:       int(file.Limits.MemoryMB),
-		MaxDescriptors: int(file.Limits.Sockets),
-	}
-	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return nil, fmt.Errorf("config: %s: %w", field, err)
-		}
-	}
-	if c.MaxDescriptors == 0 {
-		c.MaxDescriptors = 1024
-	}
-	if c.MaxDescriptors < 32 || c.MemoryMB < 0 {
-		return nil, fmt.Errorf("config: limits: sockets %d or memory_mb %d is too small", c.MaxDescriptors, c.MemoryMB)
-	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("config: seed: %w", err)
-	}
-	if len(file.Settings) == 0 {
-		return nil, fmt.Errorf("config: settings are missing")
-	}
-	s, err := simprotocol.SettingsFromJSON(file.Settings)
+	file, err := parseConfigFile(raw)
 	if err != nil {
-		return nil, fmt.Errorf("config: %w", err)
-	}
-	if err := c.applySettings(s); err != nil {
-		return nil, err
-	}
-	if err := c.applyPeers(file.PeerListen, file.PeersAll, file.Peers); err != nil {
 		return nil, err
 	}
-	if len(file.Known) > 0 {
-		if c.CachedEndpoints, err = endpointlist.Parse(file.Known, c.Zones); err != nil {
-			// It may be old at best, and discovery has the whole one: no reason to serve nobody.
-			slog.Error("the list of servers last known can't be used, discovery is asked for the whole", "error",
-				fmt.Errorf("config: known: %w", err))
+	file.applyEnvironment(env)
+	c := &Config{Name: file.Name}
+	for _, apply := range []func(*configFile) error{
+		c.applyAddresses, c.applyLimits, c.applySeed, c.applySettings, c.applyPeers,
+	} {
+		if err := apply(file); err != nil {
+			return nil, err
 		}
 	}
+	c.applyCachedEndpoints(file)
 	return c, nil
 }
 
-// applyPeers reads where the other sidecars are. Without their addresses this one goes by what it sees itself.
-func (c *Config) applyPeers(listen, all string, peers []string) error {
-	if !c.Policy.CanGossip || listen == "" || all == "" || len(peers) == 0 {
-		c.Policy.CanGossip = false
-		return nil
+// applyCachedEndpoints reads the endpoint list as last known. An invalid one is no reason not to start: it may be old
+// at best, and discovery has the current one.
+func (c *Config) applyCachedEndpoints(file *configFile) {
+	if len(file.Known) == 0 {
+		return
 	}
 	var err error
-	if c.PeerListen, err = netip.ParseAddrPort(listen); err != nil {
-		return fmt.Errorf("config: peer_listen: %w", err)
-	}
-	if c.PeerBroadcast, err = netip.ParseAddrPort(all); err != nil {
-		return fmt.Errorf("config: peers_all: %w", err)
-	}
-	c.Peers = make(map[netip.AddrPort]int, len(peers))
-	for i, peer := range peers {
-		address, err := netip.ParseAddrPort(peer)
-		if err != nil {
-			return fmt.Errorf("config: peers: %w", err)
-		}
-		c.Peers[address] = i
+	if c.CachedEndpoints, err = endpointlist.Parse(file.Known, c.Zones); err != nil {
+		slog.Error("the cached endpoint list can't be used, discovery is asked for the full list",
+			"error", &ConfigError{Field: "known", Err: err})
 	}
-	return nil
 }
 
-// applySettings reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) applySettings(s *simprotocol.Settings) error {
-	var err error
-	if c.Policy, err = s.Config(); err != nil {
-		return fmt.Errorf("config: %w", err)
+// applySettings reads the settings: those of the policy, and what the sidecar needs besides. The settings' names are
+// mapped to the policy's terms where they are read, in Settings.Config.
+func (c *Config) applySettings(file *configFile) error {
+	if len(file.Settings) == 0 {
+		return &ConfigError{Field: "settings", Err: errMissing}
 	}
-	names := func(list string) map[string]int {
-		byName := make(map[string]int)
-		for i := range s.Count(list + ".count") {
-			byName[s.Text(fmt.Sprintf("%s.%d.name", list, i))] = i
-		}
-		return byName
+	s, err := simprotocol.SettingsFromJSON(file.Settings)
+	if err != nil {
+		return &ConfigError{Err: err}
 	}
-	c.Classes, c.Tenants, c.Zones = names("classes"), names("orgs"), make(map[string]int)
-	for i, zone := range strings.Split(s.Text("zones"), ",") {
-		c.Zones[zone] = i
+	if c.Policy, err = s.Config(); err != nil {
+		return &ConfigError{Err: err}
 	}
+	c.Classes = indexByName(settingNames(s, "classes"))
+	c.Tenants = indexByName(settingNames(s, "orgs"))
+	c.Zones = indexByName(strings.Split(s.Text("zones"), ","))
 	c.ReportFields, c.ReportFormat = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
 	c.MaxInFlight = int(s.Number("caps.max_open"))
 	c.ServerIdleTimeout = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
 	c.DrainGrace = s.Duration("rules.stop_sending_within_ms")
-	for _, k := range c.Policy.Classes {
-		c.MaxDeadline = max(c.MaxDeadline, k.Deadline)
+	for _, class := range c.Policy.Classes {
+		c.MaxDeadline = max(c.MaxDeadline, class.Deadline)
 	}
 	if err := s.Err(); err != nil {
-		return fmt.Errorf("config: %w", err)
+		return &ConfigError{Err: err}
 	}
-	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.ServerIdleTimeout, "caps.dial_timeout_ms": c.DialTimeout} {
-		if d <= 0 {
-			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
+	return c.validateSettings()
+}
+
+func (c *Config) validateSettings() error {
+	for _, setting := range []struct {
+		field string
+		value time.Duration
+	}{
+		{"settings: caps.conn_idle_ms", c.ServerIdleTimeout},
+		{"settings: caps.dial_timeout_ms", c.DialTimeout},
+	} {
+		if setting.value <= 0 {
+			return &ConfigError{Field: setting.field, Err: fmt.Errorf("%v is not above 0", setting.value)}
 		}
 	}
 	if c.MaxInFlight < 0 {
-		return fmt.Errorf("config: settings: caps.max_open is %d", c.MaxInFlight)
+		return &ConfigError{Field: "settings: caps.max_open", Err: fmt.Errorf("%d is negative", c.MaxInFlight)}
 	}
 	return nil
 }
 
-// maxClientConns and upstreamConns divide the descriptors: half for the application's connections, of
-// which it may hold a third of all for requests, most of the rest for upstreams, and a reserve for
-// what is being closed and for the process itself.
+// settingNames returns the names of a list of objects in the settings.
+func settingNames(s *simprotocol.Settings, list string) []string {
+	names := make([]string, s.Count(list+".count"))
+	for i := range names {
+		names[i] = s.Text(fmt.Sprintf("%s.%d.name", list, i))
+	}
+	return names
+}
+
+func indexByName(names []string) map[string]int {
+	byName := make(map[string]int, len(names))
+	for i, name := range names {
+		byName[name] = i
+	}
+	return byName
+}
+
+// The descriptors are divided in fixed parts, so that neither side can use up what the other needs: half for
+// clients, three eighths for servers, and the last eighth for connections being closed, discovery, gossip, the
+// listener and the process itself. Clients may hold a third of all for open requests; the half leaves room for idle
+// ones beside those.
+
+// maxClientConns is the limit on clients' connections.
 func (c *Config) maxClientConns() int { return c.MaxDescriptors / 2 }
 
+// maxServerConns is the limit on connections to servers.
 func (c *Config) maxServerConns() int { return c.MaxDescriptors * 3 / 8 }
 
-// maxBodyBytes bounds the bodies of clients that are held at once.
+// maxBodyBytes is the limit on the request bodies held at once: an eighth of the memory.
 func (c *Config) maxBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"log/slog"
 	"strings"
 	"testing"
@@ -69,7 +70,12 @@
 	} {
 		raw := strings.Replace(usable, edit[0], edit[1], 1)
 		_, err := parseConfig([]byte(raw), none)
-		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		var configError *ConfigError
+		if !errors.As(err, &configError) {
+			t.Errorf("%s: error %v, want a ConfigError", field, err)
+			continue
+		}
+		if !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line that names it", field, err)
 		}
 	}
