--- /dev/null
+++ b/internal/sidecar/clientconn.go
@@ -0,0 +1,105 @@
+package sidecar
+
+import (
+	"container/list"
+	"net"
+	"time"
+)
+
+// clientConn is one connection of a client. The acceptor's lock guards its state.
+//
+// Two readers share its socket, never at the same time:
+//
+//   - net/http reads requests. While a handler runs it reads one byte in the background, and takes an error as the
+//     client's disconnect. If that byte comes instead, the client has sent more behind the open request (pipelining):
+//     net/http stores the byte and does not read again until the handler has returned.
+//   - From that byte on the clientMonitor reads, until the handler stops it. What it has read is in buffered, from
+//     where net/http's next reads are served first.
+//
+// The hand-over to the monitor is guarded by pipelined and reading (see monitorMayRead), the hand-over back by the
+// monitor's end: Read waits for it.
+type clientConn struct {
+	net.Conn
+	acceptor    *acceptor
+	idleElement *list.Element // in the acceptor's idle list; nil: a request is open, or it is closed
+	idleSince   time.Time     // since when no request is open
+	closed      bool          // released by the acceptor
+
+	reading   bool           // net/http is in Read
+	pipelined bool           // net/http's latest read was of one byte, as its background read is
+	monitor   *clientMonitor // of the open request; nil: no handler waits for a response
+	buffered  []byte         // read by the monitor, not yet by net/http. Of whichever of the two reads
+}
+
+// Read is for net/http alone.
+//
+// The acceptor closes a connection only while it is idle. Where that crosses a request's first bytes they are
+// dropped here, so that the request is not taken on: for the client that is a close before its request was read.
+func (c *clientConn) Read(p []byte) (int, error) {
+	n := c.beginRead(p)
+	var err error
+	if n == 0 {
+		n, err = c.Conn.Read(p)
+	}
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
+	c.reading = false
+	if n == 0 {
+		return n, err
+	}
+	if c.closed {
+		return 0, net.ErrClosed
+	}
+	c.acceptor.markActive(c)
+	c.pipelined = len(p) == 1
+	c.notifyMonitor()
+	return n, err
+}
+
+// beginRead makes net/http the reader, after the end of a monitor that reads, and serves what that has buffered. It
+// returns how many bytes that were.
+func (c *clientConn) beginRead(p []byte) int {
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
+	if m := c.monitor; m != nil && m.reading {
+		c.acceptor.mu.Unlock()
+		<-m.ended
+		c.acceptor.mu.Lock()
+	}
+	c.reading = true
+	n := copy(p, c.buffered)
+	c.buffered = c.buffered[n:]
+	if len(c.buffered) == 0 {
+		c.buffered = nil // frees its memory
+	}
+	return n
+}
+
+// monitorMayRead tells whether net/http has stopped reading until the handler returns. The caller holds the
+// acceptor's lock.
+func (c *clientConn) monitorMayRead() bool { return c.pipelined && !c.reading }
+
+// notifyMonitor notifies the monitor, if there is one, once it may read. The caller holds the acceptor's lock.
+func (c *clientConn) notifyMonitor() {
+	if c.monitor != nil && c.monitorMayRead() {
+		c.monitor.notifyMayRead()
+	}
+}
+
+// Close closes the socket before it releases the connection: the acceptor counts descriptors in use.
+func (c *clientConn) Close() error {
+	err := c.Conn.Close()
+	c.acceptor.mu.Lock()
+	defer c.acceptor.mu.Unlock()
+	c.acceptor.release(c)
+	return err
+}
+
+// CloseWrite lets net/http close its sending side first. Without it net/http would close the connection at once, and
+// where unread bytes remain the kernel sends a reset, which can overtake the response.
+func (c *clientConn) CloseWrite() error {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		return tcp.CloseWrite()
+	}
+	return nil
+}
--- a/internal/sidecar/clientmonitor.go
+++ b/internal/sidecar/clientmonitor.go
@@ -9,123 +9,146 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxBufferedBytes bounds what is read behind a request that waits for its answer. A client that sends more by
-// then is cut off: it would take memory, and its leaving could not be seen.
-const maxBufferedBytes = maxHeaderBytes
+const (
+	// maxBufferedBytes limits what a monitor buffers. A client that sends more behind an open request is disconnected:
+	// it would take memory, and with its bytes unread its own disconnect could not be noticed.
+	maxBufferedBytes = maxHeaderBytes
 
-// clientMonitor notices that a client closes its connection while its request waits for an answer. net/http does so
-// only until the client sends something behind that request: it stops reading at the first byte, and a close
-// behind that goes unseen. From there on the watch reads, and keeps what it has read for net/http.
+	monitorReadBytes = 4 << 10 // read at once
+)
+
+// clientMonitor notices that a client disconnects while its request is open, so that nothing more is sent to servers
+// for it.
+//
+// net/http notices that too (it ends the request's context), but only until the client sends something behind the
+// request. Then it stops reading at the first byte, and a disconnect behind that byte goes unnoticed: the request
+// would keep its queue slot and be sent to a server though nobody waits for it. From there on the monitor reads; see
+// clientConn for how the two share the socket.
+//
+// The handler of the request makes the monitor with monitorClient, which starts its goroutine, and must call stop
+// before it returns, which waits for that goroutine's end. The goroutine ends with stop, or once it has closed gone.
 type clientMonitor struct {
-	conn  *clientConn
-	gone  chan struct{} // closed once the client has gone
-	start chan struct{} // has an item when net/http has stopped reading
-	quit  chan struct{}
-	ended chan struct{}
+	conn    *clientConn
+	gone    chan struct{} // closed once the client has disconnected, or sent more than maxBufferedBytes
+	mayRead chan struct{} // has an item when net/http may have stopped reading
+	quit    chan struct{} // closed by stop
+	ended   chan struct{} // closed when the goroutine has ended
 
-	reading bool // under the acceptor's lock, as is quit
+	reading bool // the goroutine reads, or has read, the socket. Under the acceptor's lock
 }
 
 type connKey struct{}
 
-// connContext lets the requests on a connection find it.
+// connContext is the server's ConnContext hook: it lets monitorClient find the connection of a request.
 func connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// monitorClient begins to watch the client whose request ctx is of; its body has been read. The watch must be
-// stopped before the handler returns.
+// monitorClient starts a monitor for the client of a request whose body has been read; ctx is the request's context.
 func monitorClient(ctx context.Context) *clientMonitor {
 	c, _ := ctx.Value(connKey{}).(*clientConn)
-	w := &clientMonitor{
-		conn: c, gone: make(chan struct{}), start: make(chan struct{}, 1), quit: make(chan struct{}), ended: make(chan struct{}),
+	m := &clientMonitor{
+		conn:    c,
+		gone:    make(chan struct{}),
+		mayRead: make(chan struct{}, 1),
+		quit:    make(chan struct{}),
+		ended:   make(chan struct{}),
 	}
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
-	c.monitor = w
-	c.takeOver()
-	go w.run()
-	return w
+	c.monitor = m
+	c.notifyMonitor()
+	go m.run()
+	return m
 }
 
-// clientClosed tells whether the client has closed its connection or ended its sending on it, also behind bytes that nobody
-// has read yet and before any goroutine has had the time to notice.
-func (w *clientMonitor) clientClosed() bool {
-	select {
-	case <-w.gone:
-		return true
-	default:
-	}
-	socket, ok := w.conn.Conn.(syscall.Conn)
-	if !ok {
-		return false // nothing is known
-	}
-	raw, err := socket.SyscallConn()
-	if err != nil {
-		return true
+// run waits until net/http has stopped reading, then reads until the client disconnects.
+func (m *clientMonitor) run() {
+	defer close(m.ended)
+	for !m.claimReading() {
+		select {
+		case <-m.mayRead:
+		case <-m.quit:
+			return
+		}
 	}
-	left := false
-	err = raw.Control(func(fd uintptr) {
-		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(fds, 0)
-		left = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	})
-	return left || err != nil // closed on our side
+	m.readUntilGone()
 }
 
-// startReading has the watch read. The caller holds the acceptor's lock.
-func (w *clientMonitor) startReading() {
-	select {
-	case w.start <- struct{}{}:
-	default: // it was told already
-	}
+// claimReading makes the monitor the reader of the connection, if net/http has stopped reading.
+func (m *clientMonitor) claimReading() bool {
+	m.conn.acceptor.mu.Lock()
+	defer m.conn.acceptor.mu.Unlock()
+	m.reading = m.conn.monitor == m && m.conn.monitorMayRead()
+	return m.reading
 }
 
-func (w *clientMonitor) run() {
-	defer close(w.ended)
-	for !w.claimReading() {
-		select {
-		case <-w.start:
-		case <-w.quit:
-			return
-		}
-	}
-	buf := make([]byte, 4<<10)
+func (m *clientMonitor) readUntilGone() {
+	buf := make([]byte, monitorReadBytes)
 	for {
-		n, err := w.conn.Conn.Read(buf)
-		w.conn.buffered = append(w.conn.buffered, buf[:n]...)
+		n, err := m.conn.Conn.Read(buf)
+		m.conn.buffered = append(m.conn.buffered, buf[:n]...)
 		select {
-		case <-w.quit: // the error may be stop's
+		case <-m.quit: // an error may be from stop's read deadline, so it says nothing of the client
 			return
 		default:
 		}
-		if err != nil || len(w.conn.buffered) > maxBufferedBytes {
-			close(w.gone)
+		if err != nil || len(m.conn.buffered) > maxBufferedBytes {
+			close(m.gone)
 			return
 		}
 	}
 }
 
-// claimReading makes the connection the watch's to read, if net/http does not and won't.
-func (w *clientMonitor) claimReading() bool {
-	w.conn.acceptor.mu.Lock()
-	defer w.conn.acceptor.mu.Unlock()
-	w.reading = w.conn.monitor == w && w.conn.pipelined && !w.conn.reading
-	return w.reading
+// notifyMayRead has run look whether it may read. The caller holds the acceptor's lock.
+func (m *clientMonitor) notifyMayRead() {
+	select {
+	case m.mayRead <- struct{}{}:
+	default: // run has not taken the item before; it will see the current state
+	}
 }
 
-// stop ends the watch. What it has read is handed to net/http before anything new.
-func (w *clientMonitor) stop() {
-	w.conn.acceptor.mu.Lock()
-	w.conn.monitor = nil
-	close(w.quit)
-	reading := w.reading
-	w.conn.acceptor.mu.Unlock()
+// stop ends the monitor and waits for the end of its goroutine: from then on net/http is the only reader. A read
+// under way is ended by a read deadline in the past, which is taken back afterwards.
+func (m *clientMonitor) stop() {
+	m.conn.acceptor.mu.Lock()
+	m.conn.monitor = nil
+	close(m.quit)
+	reading := m.reading
+	m.conn.acceptor.mu.Unlock()
 	if reading {
-		_ = w.conn.SetReadDeadline(time.Unix(1, 0)) // ends the read; it fails only on a closed connection, as the read does
+		_ = m.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection, on which the read fails too
 	}
-	<-w.ended
+	<-m.ended
 	if reading {
-		_ = w.conn.SetReadDeadline(time.Time{})
+		_ = m.conn.SetReadDeadline(time.Time{})
+	}
+}
+
+// clientClosed tells whether the client has closed its connection, or its sending side, at this moment. It asks the
+// kernel, so it sees a close behind bytes that nobody has read, and one that no goroutine has had CPU time to notice.
+func (m *clientMonitor) clientClosed() bool {
+	select {
+	case <-m.gone:
+		return true
+	default:
+	}
+	socket, ok := m.conn.Conn.(syscall.Conn)
+	if !ok {
+		return false // not a socket: unknown
 	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return true
+	}
+	closed := false
+	err = raw.Control(func(fd uintptr) { closed = peerClosed(int32(fd)) })
+	return closed || err != nil // an error: closed on this side
+}
+
+// peerClosed tells whether the other side of a socket has closed or reset it, or closed its sending side.
+func peerClosed(fd int32) bool {
+	fds := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(fds, 0)
+	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
