--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -33,7 +33,7 @@
 		var log strings.Builder
 		before := slog.Default()
 		slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-		c, err := parseConfig([]byte(testConfigText(t, known, nil)), func(string) string { return "" })
+		c, err := parseConfig([]byte(testConfigText(t, known, nil)), noEnvironment)
 		slog.SetDefault(before)
 		if err != nil {
 			t.Errorf("%s: %v, want a sidecar that starts", known, err)
@@ -52,8 +52,7 @@
 func TestUnusableConfig(t *testing.T) {
 	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
 	const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":` + settings + `}`
-	none := func(string) string { return "" }
-	if _, err := parseConfig([]byte(usable), none); err != nil {
+	if _, err := parseConfig([]byte(usable), noEnvironment); err != nil {
 		t.Fatal(err)
 	}
 	for field, edit := range map[string][2]string{
@@ -69,7 +68,7 @@
 		"classes.0.aim_ms":     {`"aim_ms":5`, `"aim_ms":"soon"`},
 	} {
 		raw := strings.Replace(usable, edit[0], edit[1], 1)
-		_, err := parseConfig([]byte(raw), none)
+		_, err := parseConfig([]byte(raw), noEnvironment)
 		var configError *ConfigError
 		if !errors.As(err, &configError) {
 			t.Errorf("%s: error %v, want a ConfigError", field, err)
--- a/internal/sidecar/gossip.go
+++ b/internal/sidecar/gossip.go
@@ -13,100 +13,146 @@
 	"cranehatch/policy"
 )
 
-// gossipTransport sends datagrams to the other sidecars and takes theirs. Nothing waits for it: a datagram that
-// can't go out is lost, as it may be on its way. A nil one tells and hears nothing.
+// gossipTransport exchanges datagrams with the other sidecars (the peers). Nothing waits for it: a datagram that
+// can't be sent is lost, as it may be in the network. All methods work on a nil transport, which neither sends nor
+// receives.
+//
+// serve starts run in a goroutine, which starts the sender's; both end with its context.
 type gossipTransport struct {
 	conn      *net.UDPConn
-	broadcast netip.AddrPort
-	peerIndex map[netip.AddrPort]int
-	outgoing  chan []byte
+	broadcast netip.AddrPort         // from where a datagram goes to all peers
+	peerIndex map[netip.AddrPort]int // a peer's number by the address it sends from
+	outgoing  chan []byte            // for the sender
 
-	sent, lost, received, unknownSender, malformed atomic.Int64
+	sent          atomic.Int64
+	lost          atomic.Int64 // not sent: the sender was behind, or the socket returned an error
+	received      atomic.Int64 // handed on
+	unknownSender atomic.Int64 // dropped: from an address that is no peer's
+	malformed     atomic.Int64 // dropped: from a peer, but no gossip message of this version
 }
 
-// newGossipTransport listens for other sidecars, or returns nil where the configuration names none.
+// newGossipTransport listens for datagrams of peers. It returns nil where the configuration has no peers.
 func newGossipTransport(cfg *Config) (*gossipTransport, error) {
 	if !cfg.Policy.CanGossip {
 		return nil, nil
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.PeerListen))
 	if err != nil {
-		return nil, fmt.Errorf("peer_listen: %w", err)
+		return nil, &ConfigError{Field: "peer_listen", Err: err}
 	}
-	return &gossipTransport{conn: conn, broadcast: cfg.PeerBroadcast, peerIndex: cfg.Peers, outgoing: make(chan []byte, 1)}, nil
+	return &gossipTransport{
+		conn:      conn,
+		broadcast: cfg.PeerBroadcast,
+		peerIndex: cfg.Peers,
+		outgoing:  make(chan []byte, 1),
+	}, nil
 }
 
-// run sends what is told and hands what is heard to heard, until ctx ends.
-func (p *gossipTransport) run(ctx context.Context, heard func(from int, n policy.GossipMessage)) {
-	if p == nil {
+// run sends what send was given and hands each message of a peer to handle, until ctx ends, which closes the socket.
+func (g *gossipTransport) run(ctx context.Context, handle func(from int, message policy.GossipMessage)) {
+	if g == nil {
 		return
 	}
-	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
-	go p.sendOutgoing(ctx)
-	buf := make([]byte, gossip.Most+1) // a longer one shows in a byte too many
+	defer context.AfterFunc(ctx, func() { g.conn.Close() })()
+	go g.sendOutgoing(ctx)
+	err := g.receiveAll(handle)
+	if !errors.Is(err, net.ErrClosed) {
+		slog.Error("gossip of other sidecars can't be received any more", "error", err)
+	}
+}
+
+// receiveAll reads datagrams until the socket returns an error.
+func (g *gossipTransport) receiveAll(handle func(from int, message policy.GossipMessage)) error {
+	buf := make([]byte, gossip.Most+1) // one byte more: a datagram that is too long must not look like a valid one
 	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
-		switch {
-		case errors.Is(err, net.ErrClosed):
-			return
-		case err != nil:
-			slog.Error("other sidecars can't be heard any more", "error", err)
-			return
+		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
+		if err != nil {
+			return fmt.Errorf("read a datagram: %w", err)
 		}
-		p.receive(buf[:n], from, heard)
+		g.receive(buf[:n], from, handle)
 	}
 }
 
-// receive hands on one datagram, if it is one: from a sidecar that the configuration names, in gossip's form.
-func (p *gossipTransport) receive(raw []byte, from netip.AddrPort, heard func(from int, n policy.GossipMessage)) {
-	number, known := p.peerIndex[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+// receive hands one datagram on, if it comes from a peer and is a gossip message.
+func (g *gossipTransport) receive(raw []byte, from netip.AddrPort, handle func(from int, message policy.GossipMessage)) {
+	peer, known := g.peerIndex[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
-		p.unknownSender.Add(1)
+		g.unknownSender.Add(1)
 		return
 	}
-	news, err := gossip.Decode(raw)
+	message, err := gossip.Decode(raw)
 	if err != nil {
-		p.malformed.Add(1)
+		g.malformed.Add(1)
 		return
 	}
-	p.received.Add(1)
-	heard(number, news)
+	g.received.Add(1)
+	handle(peer, message)
 }
 
-func (p *gossipTransport) sendOutgoing(ctx context.Context) {
+// send passes a datagram for all peers to the sender. It never blocks: the event loop calls it.
+func (g *gossipTransport) send(raw []byte) {
+	if g == nil {
+		return
+	}
+	select {
+	case g.outgoing <- raw:
+	default:
+		g.lost.Add(1)
+	}
+}
+
+// sendOutgoing is the sender. It ends with ctx.
+func (g *gossipTransport) sendOutgoing(ctx context.Context) {
 	for {
 		select {
-		case raw := <-p.outgoing:
-			if _, err := p.conn.WriteToUDPAddrPort(raw, p.broadcast); err != nil {
-				if p.lost.Add(1) == 1 {
-					slog.Warn("a message to other sidecars can't be sent", "error", err)
-				}
-				continue
-			}
-			p.sent.Add(1)
+		case raw := <-g.outgoing:
+			g.sendDatagram(raw)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// send sends a datagram to all other sidecars. It never waits.
-func (p *gossipTransport) send(raw []byte) {
-	if p == nil {
+// sendDatagram sends one datagram. Only the first failure is logged, as all later ones are likely to be the same; the
+// counters have their number.
+func (g *gossipTransport) sendDatagram(raw []byte) {
+	if _, err := g.conn.WriteToUDPAddrPort(raw, g.broadcast); err != nil {
+		if g.lost.Add(1) == 1 {
+			slog.Warn("gossip can't be sent", "to", g.broadcast, "error", err)
+		}
 		return
 	}
-	select {
-	case p.outgoing <- raw:
-	default:
-		p.lost.Add(1)
-	}
+	g.sent.Add(1)
 }
 
-// counters are for the log.
-func (p *gossipTransport) counters() map[string]int64 {
-	if p == nil {
-		return nil
+// gossipCounters are numbers of datagrams since the start; see gossipTransport.
+type gossipCounters struct {
+	sent          int64
+	lost          int64
+	received      int64
+	unknownSender int64
+	malformed     int64
+}
+
+// LogValue makes each counter an attribute.
+func (c gossipCounters) LogValue() slog.Value {
+	return slog.GroupValue(
+		slog.Int64("sent", c.sent),
+		slog.Int64("lost", c.lost),
+		slog.Int64("received", c.received),
+		slog.Int64("unknown_sender", c.unknownSender),
+		slog.Int64("malformed", c.malformed))
+}
+
+func (g *gossipTransport) counters() gossipCounters {
+	if g == nil {
+		return gossipCounters{}
+	}
+	return gossipCounters{
+		sent:          g.sent.Load(),
+		lost:          g.lost.Load(),
+		received:      g.received.Load(),
+		unknownSender: g.unknownSender.Load(),
+		malformed:     g.malformed.Load(),
 	}
-	return map[string]int64{"sent": p.sent.Load(), "lost": p.lost.Load(), "heard": p.received.Load(),
-		"foreign": p.unknownSender.Load(), "malformed": p.malformed.Load()}
 }
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"context"
+	"errors"
+	"log/slog"
 	"net"
 	"net/netip"
+	"strings"
 	"testing"
 	"time"
 
@@ -11,8 +14,8 @@
 	"cranehatch/policy"
 )
 
-// socket is a UDP socket of a test's own on loopback.
-func socket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
+// udpSocket returns a socket of the test's own on loopback.
+func udpSocket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -22,94 +25,126 @@
 	return conn, conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// News goes out to all; of what comes in, only news of a listed sidecar is handed on, the rest is counted.
-func TestPeersHearOnlyNewsOfListedSidecars(t *testing.T) {
-	all, allAt := socket(t)
-	friend, friendAt := socket(t)
-	stranger, _ := socket(t)
+var testGossip = policy.GossipMessage{SentAt: time.Hour, RequestRate: 2, Responses: 3, Congestion: 0.5}
+
+// peerMessage is a message that the transport has handed on.
+type peerMessage struct {
+	from    int
+	message policy.GossipMessage
+}
+
+// expectDatagram reads the test's gossip message from a socket.
+func expectDatagram(t *testing.T, conn *net.UDPConn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(generous)); err != nil {
+		t.Fatal(err)
+	}
+	buf := make([]byte, 1000)
+	n, err := conn.Read(buf)
+	if err != nil || n > gossip.Most {
+		t.Fatalf("%d bytes, %v", n, err)
+	}
+	if got, err := gossip.Decode(buf[:n]); err != nil || got != testGossip {
+		t.Fatalf("sent %+v, %v", got, err)
+	}
+}
+
+// A datagram from an address that is no peer's, or one that is no gossip message, must not reach the policy: it would
+// change decisions. A message goes out to all peers; of what comes in, only messages of peers are handed on, and the
+// rest is counted.
+func TestOnlyGossipOfPeersIsReceived(t *testing.T) {
+	broadcast, broadcastAddress := udpSocket(t)
+	peer, peerAddress := udpSocket(t)
+	stranger, _ := udpSocket(t)
 	cfg := testConfig(t, listed(1, "ready"), func(file, settings map[string]any) {
 		settings["balancers"] = 3
 		settings["caps"].(map[string]any)["peers"] = true
-		file["peer_listen"], file["peers_all"] = "127.0.0.1:0", allAt.String()
-		file["peers"] = []string{"127.0.0.1:9", "127.0.0.1:10", friendAt.String()}
+		file["peer_listen"], file["peers_all"] = "127.0.0.1:0", broadcastAddress.String()
+		file["peers"] = []string{"127.0.0.1:9", "127.0.0.1:10", peerAddress.String()}
 	})
-	p, err := newGossipTransport(cfg)
+	g, err := newGossipTransport(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	type news struct {
-		from int
-		n    policy.GossipMessage
-	}
-	heard := make(chan news, 10)
+	messages := make(chan peerMessage, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		p.run(ctx, func(from int, n policy.GossipMessage) { heard <- news{from, n} })
+		g.run(ctx, func(from int, message policy.GossipMessage) { messages <- peerMessage{from, message} })
 		close(ended)
 	}()
 
-	want := policy.GossipMessage{SentAt: time.Hour, RequestRate: 2, Responses: 3, Congestion: 0.5}
-	p.send(gossip.Encode(want))
-	buf := make([]byte, 1000)
-	if err := all.SetReadDeadline(time.Now().Add(generous)); err != nil {
-		t.Fatal(err)
-	}
-	n, err := all.Read(buf)
-	if err != nil || n > gossip.Most {
-		t.Fatalf("%d bytes, %v", n, err)
-	}
-	if got, err := gossip.Decode(buf[:n]); err != nil || got != want {
-		t.Fatalf("told %+v, %v", got, err)
-	}
+	g.send(gossip.Encode(testGossip))
+	expectDatagram(t, broadcast)
 
-	to := p.conn.LocalAddr()
-	for _, m := range []struct {
+	for _, datagram := range []struct {
 		from *net.UDPConn
 		raw  []byte
 	}{
-		{stranger, gossip.Encode(want)}, {friend, []byte("noise")}, {friend, make([]byte, 2000)}, {friend, nil},
-		{friend, gossip.Encode(want)},
+		{stranger, gossip.Encode(testGossip)},
+		{peer, []byte("noise")},
+		{peer, make([]byte, 2000)},
+		{peer, nil},
+		{peer, gossip.Encode(testGossip)},
 	} {
-		if _, err := m.from.WriteTo(m.raw, to); err != nil {
+		if _, err := datagram.from.WriteTo(datagram.raw, g.conn.LocalAddr()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := wait(t, "the news", heard); got != (news{2, want}) {
-		t.Fatalf("heard %+v, want that of number 2", got)
+	if got := wait(t, "the message", messages); got != (peerMessage{2, testGossip}) {
+		t.Fatalf("received %+v, want that of peer 2", got)
 	}
-	if c := p.counters(); c["foreign"] != 1 || c["malformed"] != 3 || c["heard"] != 1 || len(heard) > 0 {
-		t.Fatalf("counters %v, %d more heard", c, len(heard))
+	if c := g.counters(); c.unknownSender != 1 || c.malformed != 3 || c.received != 1 || len(messages) > 0 {
+		t.Fatalf("counters %+v, %d more messages", c, len(messages))
 	}
 	cancel()
 	wait(t, "the end", ended)
 }
 
-// Without addresses, or where messages are not allowed, a sidecar tells and hears nothing and goes on.
-func TestSidecarWithoutPeers(t *testing.T) {
+// Where the settings don't allow gossip, addresses of peers change nothing: the sidecar has no transport, and the
+// calls on that do nothing.
+func TestSidecarWithoutGossip(t *testing.T) {
 	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) {
 		file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
 	})
-	p, err := newGossipTransport(cfg)
-	if p != nil || err != nil || cfg.Policy.CanGossip {
-		t.Fatalf("peers %v, %v, though the settings do not allow them", p, err)
+	g, err := newGossipTransport(cfg)
+	if g != nil || err != nil || cfg.Policy.CanGossip {
+		t.Fatalf("transport %v, %v, though the settings do not allow gossip", g, err)
+	}
+	g.send([]byte("x"))
+	g.run(context.Background(), nil)
+	if c := g.counters(); c != (gossipCounters{}) {
+		t.Fatalf("counters %+v, want none", c)
 	}
-	p.send([]byte("x"))
-	p.run(context.Background(), nil)
-	if len(p.counters()) != 0 {
-		t.Fatal("it counted something")
+}
+
+func TestGossipCountersAreLogged(t *testing.T) {
+	var log strings.Builder
+	counters := gossipCounters{sent: 1, lost: 2, received: 3, unknownSender: 4, malformed: 5}
+	slog.New(slog.NewTextHandler(&log, nil)).Info("counters", "gossip", counters)
+	const want = " gossip.sent=1 gossip.lost=2 gossip.received=3 gossip.unknown_sender=4 gossip.malformed=5\n"
+	if !strings.HasSuffix(log.String(), want) {
+		t.Errorf("log %q, want it to end in %q", &log, want)
 	}
 }
 
 func TestUnusablePeersAreAnError(t *testing.T) {
-	for field, value := range map[string]any{"peer_listen": "nowhere", "peers_all": "x:1", "peers": []string{"127.0.0.1"}} {
-		text := testConfigText(t, listed(1, "ready"), func(file, settings map[string]any) {
-			settings["caps"].(map[string]any)["peers"] = true
-			file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
-			file[field] = value
+	for field, value := range map[string]any{
+		"peer_listen": "nowhere",
+		"peers_all":   "x:1",
+		"peers":       []string{"127.0.0.1"},
+	} {
+		t.Run(field, func(t *testing.T) {
+			text := testConfigText(t, listed(1, "ready"), func(file, settings map[string]any) {
+				settings["caps"].(map[string]any)["peers"] = true
+				file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
+				file[field] = value
+			})
+			_, err := parseConfig([]byte(text), noEnvironment)
+			var configError *ConfigError
+			if !errors.As(err, &configError) || configError.Field != field {
+				t.Errorf("%v: error %v, want a ConfigError that names the field", value, err)
+			}
 		})
-		if _, err := parseConfig([]byte(text), func(string) string { return "" }); err == nil {
-			t.Errorf("%s as %v was taken", field, value)
-		}
 	}
 }
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -134,13 +134,16 @@
 // testConfig is a usable configuration; edit changes its JSON, as decoded, before it is read.
 func testConfig(t *testing.T, known string, edit func(file, settings map[string]any)) *Config {
 	t.Helper()
-	cfg, err := parseConfig([]byte(testConfigText(t, known, edit)), func(string) string { return "" })
+	cfg, err := parseConfig([]byte(testConfigText(t, known, edit)), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
+// noEnvironment is an environment without variables.
+func noEnvironment(string) string { return "" }
+
 // testConfigText is the file of such a configuration.
 func testConfigText(t *testing.T, known string, edit func(file, settings map[string]any)) string {
 	t.Helper()
