--- /dev/null
+++ b/internal/sidecar/clients_test.go
@@ -0,0 +1,87 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// serveClients serves clients on loopback for a loop whose goroutine is the test itself.
+func serveClients(t *testing.T, l *eventLoop) (f *ingress, address string) {
+	t.Helper()
+	cfg := testConfig(t, listed(1, "ready"), nil)
+	listener, err := net.Listen("tcp", cfg.Listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f = newIngress(cfg, l.clock, l)
+	a := newAcceptor(listener, cfg.maxClientConns())
+	server := f.server(a)
+	go func() { _ = server.Serve(a) }() // ends with the test
+	t.Cleanup(func() { server.Close() })
+	return f, listener.Addr().String()
+}
+
+// sendOnNewConn opens a connection and sends text on it, usually a request.
+func sendOnNewConn(t *testing.T, address, text string) *net.TCPConn {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	if err := c.SetReadDeadline(time.Now().Add(generous)); err != nil {
+		t.Fatal(err)
+	}
+	write(t, c, text)
+	return c.(*net.TCPConn)
+}
+
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// rawRequest is a valid idempotent request as a client writes it.
+func rawRequest(id string) string {
+	return fmt.Sprintf("GET /look HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\n"+
+		"X-Tenant-Id: north\r\nX-Timeout: 20000m\r\n\r\n", id)
+}
+
+// disconnects are the ways in which a client may disconnect. Each returns once the close is on its way.
+var disconnects = map[string]func(t *testing.T, c *net.TCPConn){
+	"close":                       func(_ *testing.T, c *net.TCPConn) { c.Close() },
+	"reset":                       reset,
+	"close behind a request":      behindRequest(func(_ *testing.T, c *net.TCPConn) { c.Close() }),
+	"half close behind a request": behindRequest(halfClose),
+	"reset behind a request":      behindRequest(reset),
+	"more than may be buffered": func(t *testing.T, c *net.TCPConn) {
+		write(t, c, strings.Repeat("x", maxBufferedBytes+1+monitorReadBytes))
+	},
+}
+
+// behindRequest has a client send another request before it disconnects: net/http alone would not notice.
+func behindRequest(disconnect func(*testing.T, *net.TCPConn)) func(*testing.T, *net.TCPConn) {
+	return func(t *testing.T, c *net.TCPConn) {
+		write(t, c, rawRequest("behind"))
+		disconnect(t, c)
+	}
+}
+
+func reset(t *testing.T, c *net.TCPConn) {
+	if err := c.SetLinger(0); err != nil {
+		t.Error(err)
+	}
+	c.Close()
+}
+
+func halfClose(t *testing.T, c *net.TCPConn) {
+	if err := c.CloseWrite(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -136,7 +136,7 @@
 			p.CrossZoneCost != s.Number("charges.cross_zone") || len(cfg.Tenants) != s.Count("orgs.count") {
 			t.Errorf("%s: %+v", d.file, cfg)
 		}
-		l := loopFor(t, cfg)
+		l := newTestLoopFor(t, cfg)
 		for i, tenant := range cfg.Policy.Tenants {
 			// a slot is a whole one, and two standard deviations are kept for chance
 			for j, other := range cfg.Policy.Tenants {
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -90,8 +90,8 @@
 // echo answers with the request's own id.
 func echo(c net.Conn, r received) bool { return ok(c, "done "+r.Header.Get("X-Request-ID")) }
 
-// turnAway answers that the request has not run.
-func turnAway(c net.Conn, _ received) bool {
+// rejectUnprocessed answers that the request has not run.
+func rejectUnprocessed(c net.Conn, _ received) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
