--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"errors"
 	"log/slog"
 	"strings"
 	"testing"
@@ -11,7 +12,7 @@
 
 func TestConfig(t *testing.T) {
 	c := testConfig(t, listed(41, "ready", "127.0.0.1:80"), nil)
-	if c.Seed != 0x8c1f30d27a5be964 || c.ServerIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.CachedEndpoints.version != 41 ||
+	if c.Seed != 0x8c1f30d27a5be964 || c.ServerIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.CachedEndpoints.Version != 41 ||
 		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxInFlight != 100 {
 		t.Errorf("config %+v", c)
 	}
@@ -32,7 +33,7 @@
 		var log strings.Builder
 		before := slog.Default()
 		slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-		c, err := parseConfig([]byte(testConfigText(t, known, nil)), func(string) string { return "" })
+		c, err := parseConfig([]byte(testConfigText(t, known, nil)), noEnvironment)
 		slog.SetDefault(before)
 		if err != nil {
 			t.Errorf("%s: %v, want a sidecar that starts", known, err)
@@ -41,8 +42,8 @@
 		if strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "config: known: ") {
 			t.Errorf("%s: log %q, want one line that names it", known, &log)
 		}
-		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.endpoints) > 0 || d.version >= 0 {
-			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.endpoints), d.version)
+		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.Servers) > 0 || d.version >= 0 {
+			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.Servers), d.version)
 		}
 	}
 }
@@ -51,8 +52,7 @@
 func TestUnusableConfig(t *testing.T) {
 	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
 	const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":` + settings + `}`
-	none := func(string) string { return "" }
-	if _, err := parseConfig([]byte(usable), none); err != nil {
+	if _, err := parseConfig([]byte(usable), noEnvironment); err != nil {
 		t.Fatal(err)
 	}
 	for field, edit := range map[string][2]string{
@@ -68,8 +68,13 @@
 		"classes.0.aim_ms":     {`"aim_ms":5`, `"aim_ms":"soon"`},
 	} {
 		raw := strings.Replace(usable, edit[0], edit[1], 1)
-		_, err := parseConfig([]byte(raw), none)
-		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+		_, err := parseConfig([]byte(raw), noEnvironment)
+		var configError *ConfigError
+		if !errors.As(err, &configError) {
+			t.Errorf("%s: error %v, want a ConfigError", field, err)
+			continue
+		}
+		if !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line that names it", field, err)
 		}
 	}
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	hosts "cranehatch/internal/endpointlist"
+	"cranehatch/internal/endpointlist"
 	"cranehatch/policy"
 )
 
@@ -90,8 +90,8 @@
 // echo answers with the request's own id.
 func echo(c net.Conn, r received) bool { return ok(c, "done "+r.Header.Get("X-Request-ID")) }
 
-// turnAway answers that the request has not run.
-func turnAway(c net.Conn, _ received) bool {
+// rejectUnprocessed answers that the request has not run.
+func rejectUnprocessed(c net.Conn, _ received) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
@@ -134,13 +134,16 @@
 // testConfig is a usable configuration; edit changes its JSON, as decoded, before it is read.
 func testConfig(t *testing.T, known string, edit func(file, settings map[string]any)) *Config {
 	t.Helper()
-	cfg, err := parseConfig([]byte(testConfigText(t, known, edit)), func(string) string { return "" })
+	cfg, err := parseConfig([]byte(testConfigText(t, known, edit)), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return cfg
 }
 
+// noEnvironment is an environment without variables.
+func noEnvironment(string) string { return "" }
+
 // testConfigText is the file of such a configuration.
 func testConfigText(t *testing.T, known string, edit func(file, settings map[string]any)) string {
 	t.Helper()
@@ -243,4 +246,4 @@
 }
 
 // serverID names a server by its instanceId.
-func serverID(instance string) policy.EndpointID { return hosts.ServerID(instance) }
+func serverID(instance string) policy.EndpointID { return endpointlist.ServerID(instance) }
