--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -1,138 +1,172 @@
 package sidecar
 
 import (
-	"hash/fnv"
 	"io"
 	"math/rand/v2"
 	"net/http"
-	"net/textproto"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"cranehatch/policy"
 )
 
 const (
-	// A client beside us sends a request at once. These leave room for one that is short of CPU and
-	// end those that never finish within 3 s of connecting.
-	headerTimeout       = 2200 * time.Millisecond // over the head; also for a new connection's first byte
-	bodyTimeout         = 2 * time.Second         // over the body, once the head is here
-	rejectedBodyTimeout = 500 * time.Millisecond  // the rest of a rejected request is read over for so long
-	clientIdleTimeout   = 2 * time.Minute         // idle connections of clients are closed after this
-	maxHeaderBytes      = 16 << 10
-	maxTimeout          = time.Hour // figures above this mean the same to everyone
-	maxDeadlineMultiple = 10        // a time-out of more than so many deadlines of its class is no usable one
+	// Clients run on the same machine and send a request at once. These timeouts leave enough for a client
+	// that is short of CPU, and end one that never finishes its request within 3 s of connecting.
+	readHeadTimeout   = 2200 * time.Millisecond // for the head; also for the first byte on a new connection
+	readBodyTimeout   = 2 * time.Second         // for the body, after the head
+	clientIdleTimeout = 2 * time.Minute         // idle connections of clients are closed after this
+	maxHeaderBytes    = 16 << 10
+
+	readinessPath = "/up"
+
+	// The Retry-After of a request over a limit is drawn from this range, so that clients which were rejected
+	// together don't all retry together.
+	minRetryAfterSeconds    = 0.5
+	retryAfterJitterSeconds = 1.0
 )
 
-// singleValueHeaders lists the headers that steer a request. Sent twice, two readers may heed different ones.
-var singleValueHeaders = []string{
-	"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Route-Key", "X-Timeout", "X-Retried", "X-Cost",
-	"X-Attrs", "Idempotency-Key", "Content-Length",
-}
-
-// ingress is the application's side.
+// ingress is the HTTP handler for the application: it validates requests, enforces the limits on what is in
+// flight, hands accepted requests to the event loop and writes their responses. The limits protect this
+// process; package policy decides on everything else.
 type ingress struct {
 	cfg       *Config
 	clock     clock
 	loop      *eventLoop
-	inFlight  atomic.Int64 // requests with no answer yet
-	bodyBytes atomic.Int64 // of their bodies
-	ready     atomic.Bool  // what GET /up tells
-	killAt    atomic.Int64 // once a stop is asked for: when it may be killed, in the clock's time; 0 before
+	inFlight  atomic.Int64 // requests read in full that have no response yet
+	bodyBytes atomic.Int64 // size of their bodies
+	ready     atomic.Bool  // the answer to a readiness check
+	killAt    atomic.Int64 // while draining: when the process may be killed, in the clock's time; 0 before
 
 	mu      sync.Mutex
-	openIDs map[string]bool // ids of the requests that have no answer yet
+	openIDs map[string]bool // ids of the requests that have no response yet
 }
 
 func newIngress(cfg *Config, c clock, l *eventLoop) *ingress {
 	return &ingress{cfg: cfg, clock: c, loop: l, openIDs: make(map[string]bool)}
 }
 
-// server is the HTTP server that serves the application.
+// server returns the HTTP server for the application. Its caller starts it and shuts it down.
 func (f *ingress) server(a *acceptor) *http.Server {
 	return &http.Server{
-		Handler: f, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: a.connStateChanged, ConnContext: connContext,
+		Handler:           f,
+		ReadHeaderTimeout: readHeadTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         a.connStateChanged,
+		ConnContext:       connContext,
 	}
 }
 
-// closeIfDraining has a connection close with its answer, once a stop is asked for.
-func (f *ingress) closeIfDraining(w http.ResponseWriter) {
-	if f.killAt.Load() != 0 {
-		w.Header().Set("Connection", "close")
-	}
-}
-
-// rejection is why a request can't be taken on: an answer for its client alone.
-type rejection struct {
-	status int
-	reason string
-}
-
+// ServeHTTP handles one request of the application, or a readiness check.
 func (f *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := f.clock.now() // the client's time began when it sent, so before the body is read
-	if r.URL.Path == "/up" && r.Method == http.MethodGet && len(r.TransferEncoding) == 0 && r.ContentLength == 0 {
-		f.closeIfDraining(w)
-		if !f.ready.Load() {
-			w.WriteHeader(http.StatusServiceUnavailable)
-		}
+	// The client's timeout runs from when it sent the request, so the arrival is taken before the body is read.
+	arrived := f.clock.now()
+	if isReadinessCheck(r) {
+		f.writeReadiness(w)
 		return
 	}
-	q, left, bad := f.parseRequest(r)
-	if bad != nil {
-		writeRejection(w, bad)
+	parsed, rejected := f.parseRequest(r)
+	if rejected != nil {
+		writeRejection(w, rejected)
 		return
 	}
-	id := r.Header.Get("X-Request-ID")
+	id := r.Header.Get(headerRequestID)
 	if !f.reserveID(id) {
-		writeRejection(w, &rejection{http.StatusConflict, "a request of this X-Request-ID is open"})
+		writeRejection(w, reject(http.StatusConflict, "a request of this X-Request-ID is open"))
 		return
 	}
 	defer f.releaseID(id)
-	body, bad := readBody(w, r)
-	if bad != nil {
-		writeRejection(w, bad)
+	body, rejected := readBody(w, r)
+	if rejected != nil {
+		writeRejection(w, rejected)
 		return
 	}
-	// Counted only now: clients that tell of a body and don't send it must not use up what the others
-	// may hold. Until here the bound on connections holds for them.
+	f.admit(w, r, parsed, body, arrived+parsed.timeout)
+}
+
+func isReadinessCheck(r *http.Request) bool {
+	hasBody := len(r.TransferEncoding) != 0 || r.ContentLength != 0
+	return r.URL.Path == readinessPath && r.Method == http.MethodGet && !hasBody
+}
+
+// writeReadiness answers 200 while the sidecar serves, and 503 before that and while it drains.
+func (f *ingress) writeReadiness(w http.ResponseWriter) {
+	f.closeIfDraining(w)
+	if !f.ready.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// admit forwards a request that was read in full, unless it is over a limit.
+//
+// Requests are counted only from here on. If they counted from their head on, a few clients that announce a
+// body and never send it could use up the limits for all others. Until here the limit on client connections
+// bounds them.
+func (f *ingress) admit(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	size := int64(len(body))
+	inFlight, bodyBytes := f.inFlight.Add(1), f.bodyBytes.Add(size)
 	defer f.inFlight.Add(-1)
 	defer f.bodyBytes.Add(-size)
-	held, bytes := f.inFlight.Add(1), f.bodyBytes.Add(size)
-	// One that comes once a stop is asked for must have its answer before the process may be killed.
-	deadline := arrived + left
-	if until := time.Duration(f.killAt.Load()); until != 0 {
-		deadline = min(deadline, until)
-	}
-	if f.cfg.MaxInFlight > 0 && held > int64(f.cfg.MaxInFlight) || bytes > f.cfg.maxBodyBytes() || deadline <= f.clock.now() {
+	deadline = f.deadlineBeforeKill(deadline)
+	if f.overLimit(inFlight, bodyBytes) || deadline <= f.clock.now() {
 		f.closeIfDraining(w)
-		pause := time.Duration(float64(time.Second) * (0.5 + rand.Float64())) // spread: not all come back at once
-		writeUnavailable(w, min(pause, f.cfg.Policy.MaxRetryAfter))
+		writeUnavailable(w, f.drawRetryAfter())
 		return
 	}
+	f.forward(w, r, parsed, body, deadline)
+}
+
+// forward hands a request to the event loop and writes the final response, or none if the client has gone
+// before it is there.
+func (f *ingress) forward(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	client := monitorClient(r.Context())
 	defer client.stop()
-	m := &outboundRequest{method: r.Method, uri: r.RequestURI, host: r.Host, header: endToEnd(r.Header), body: body, clientClosed: client.clientClosed}
-	reply := make(chan response, 1)
-	number := f.loop.submit(q, m, deadline, reply)
+	outbound := newOutboundRequest(r, body, client.clientClosed)
+	reply := make(chan response, 1) // buffered: the event loop never waits for a handler
+	number := f.loop.submit(parsed.policy, outbound, deadline, reply)
 	select {
-	case a := <-reply:
+	case final := <-reply:
 		f.closeIfDraining(w)
-		a.write(w)
+		final.write(w)
 		return
-	case <-r.Context().Done(): // the client has closed its connection
-	case <-client.gone: // or did so behind more that it has sent
+	case <-r.Context().Done(): // net/http has seen the client close its connection
+	case <-client.gone: // the monitor has, behind further bytes, where net/http does not look
 	}
 	f.loop.clientGone(number)
-	panic(http.ErrAbortHandler) // net/http's way to close it with no answer
+	panic(http.ErrAbortHandler) // how a handler has net/http close the connection without a response
+}
+
+// deadlineBeforeKill returns the deadline of a request, earlier if the process may be killed before it: a
+// request that arrives while the sidecar drains must have its response by then.
+func (f *ingress) deadlineBeforeKill(deadline time.Duration) time.Duration {
+	if killAt := time.Duration(f.killAt.Load()); killAt != 0 {
+		return min(deadline, killAt)
+	}
+	return deadline
+}
+
+// overLimit reports whether the requests in flight, with the one at hand, or their bodies are too many.
+func (f *ingress) overLimit(inFlight, bodyBytes int64) bool {
+	if f.cfg.MaxInFlight > 0 && inFlight > int64(f.cfg.MaxInFlight) {
+		return true
+	}
+	return bodyBytes > f.cfg.maxBodyBytes()
 }
 
-// reserveID takes an id into use. One that is open belongs to another request: upstreams would take a
-// second under it for a copy of the first.
+func (f *ingress) drawRetryAfter() time.Duration {
+	seconds := minRetryAfterSeconds + retryAfterJitterSeconds*rand.Float64()
+	return min(time.Duration(float64(time.Second)*seconds), f.cfg.Policy.MaxRetryAfter)
+}
+
+// closeIfDraining has a connection close after the response that is about to be written, while draining.
+func (f *ingress) closeIfDraining(w http.ResponseWriter) {
+	if f.killAt.Load() != 0 {
+		w.Header().Set(headerConnection, "close")
+	}
+}
+
+// reserveID enters a request's id, or returns false if a request with this id is in flight: servers would
+// take the second for a repeat of the first and drop it.
 func (f *ingress) reserveID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,171 +183,18 @@
 	delete(f.openIDs, id)
 }
 
-// readBody reads a body of the length that was told, within bodyTime: a client that tells more than
-// it sends must not hold memory and a connection for ever.
-func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejection) {
+// readBody reads a body of the announced length within readBodyTimeout: a client that announces more than it
+// sends must not occupy memory and a connection indefinitely. io.ReadAll allocates only for what arrives.
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejectionError) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // fails only on a closed connection, as the read does
-	body, err := io.ReadAll(r.Body)                          // which takes no more memory than has come
+	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection, as the read does
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return nil, &rejection{http.StatusRequestTimeout, "the body is shorter than Content-Length"}
+		return nil, reject(http.StatusRequestTimeout, "the body is shorter than Content-Length")
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
 }
-
-// writeRejection answers a request that can't be taken on and closes its connection: where it ends is not to
-// be trusted. What is left of it is not waited for.
-func writeRejection(w http.ResponseWriter, bad *rejection) {
-	w.Header().Set("Connection", "close") // or net/http would read the rest first
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectedBodyTimeout))
-	http.Error(w, bad.reason, bad.status)
-}
-
-// parseRequest takes what a request says of itself. What is missing or malformed is a rejection: nothing of
-// it may reach the module or an upstream, whose 400 would count as the upstream's failure.
-func (f *ingress) parseRequest(r *http.Request) (q policy.Request, left time.Duration, bad *rejection) {
-	h := r.Header
-	no := func(status int, reason string) (policy.Request, time.Duration, *rejection) {
-		return policy.Request{}, 0, &rejection{status, reason}
-	}
-	// net/http has dropped a Content-Length beside it. Which of the two counts is what such requests
-	// are about: the body may hold another request.
-	if len(r.TransferEncoding) > 0 {
-		return no(http.StatusLengthRequired, "Transfer-Encoding is not taken, send Content-Length")
-	}
-	if !r.ProtoAtLeast(1, 1) { // net/http passes over Transfer-Encoding there
-		return no(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed")
-	}
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return no(http.StatusBadRequest, "the target is no path")
-	}
-	for _, name := range singleValueHeaders {
-		if len(h[name]) > 1 {
-			return no(http.StatusBadRequest, name+" is given twice")
-		}
-	}
-	if h.Get("X-Request-ID") == "" {
-		return no(http.StatusBadRequest, "X-Request-ID is missing")
-	}
-	name := h.Get("X-Priority-Class")
-	var ok bool
-	if q.Class, ok = f.cfg.Classes[name]; !ok {
-		return no(http.StatusBadRequest, "X-Priority-Class names no class")
-	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != name {
-		return no(http.StatusBadRequest, "the path is of another class than X-Priority-Class")
-	}
-	class, key := &f.cfg.Policy.Classes[q.Class], h.Get("Idempotency-Key")
-	if want := methodFor[class.Idempotency]; r.Method != want {
-		return no(http.StatusMethodNotAllowed, "requests of this class are sent with "+want)
-	}
-	switch {
-	case class.Idempotency == policy.IdempotentByKey && key == "":
-		return no(http.StatusBadRequest, "Idempotency-Key is missing")
-	case class.Idempotency == policy.NonIdempotent && key != "":
-		return no(http.StatusBadRequest, "Idempotency-Key is of no use in this class")
-	case class.Idempotency == policy.Idempotent && r.ContentLength != 0:
-		return no(http.StatusBadRequest, "GET has no body")
-	case class.Idempotency != policy.Idempotent && h["Content-Length"] == nil:
-		return no(http.StatusLengthRequired, "Content-Length is missing")
-	case r.ContentLength > maxBodyBytes:
-		return no(http.StatusRequestEntityTooLarge, "the body is too long")
-	}
-	if len(f.cfg.Tenants) > 0 {
-		if q.Tenant, ok = f.cfg.Tenants[h.Get("X-Tenant-Id")]; !ok {
-			return no(http.StatusBadRequest, "X-Tenant-Id names no tenant")
-		}
-	}
-	if left, ok = parseTimeout(h.Get("X-Timeout")); !ok || left <= 0 || left > maxDeadlineMultiple*class.Deadline {
-		return no(http.StatusBadRequest, "X-Timeout is missing, malformed or out of range")
-	}
-	if cost := h.Get("X-Cost"); cost != "" {
-		if q.ExpectedWork, ok = parseTimeout(cost + "u"); !ok {
-			return no(http.StatusBadRequest, "X-Cost is malformed")
-		}
-	}
-	if key := h.Get("X-Route-Key"); key != "" {
-		sum := fnv.New64a()
-		_, _ = io.WriteString(sum, key) // a hash takes everything
-		q.Key = sum.Sum64()
-	}
-	q.ClientRetry = h.Get("X-Retried") == "1"
-	return q, left, nil
-}
-
-// methodFor are what each effect's requests are sent with.
-var methodFor = map[policy.Idempotency]string{
-	policy.Idempotent: http.MethodGet, policy.IdempotentByKey: http.MethodPost, policy.NonIdempotent: http.MethodPost,
-}
-
-// parseTimeout reads a number with the unit m (milliseconds) or u (microseconds).
-func parseTimeout(text string) (time.Duration, bool) {
-	unit := time.Millisecond
-	number, ok := strings.CutSuffix(text, "m")
-	if !ok {
-		unit = time.Microsecond
-		number, ok = strings.CutSuffix(text, "u")
-	}
-	if !ok || strings.Trim(number, "0123456789.") != "" {
-		return 0, false
-	}
-	n, err := strconv.ParseFloat(number, 64)
-	if err != nil {
-		return 0, false
-	}
-	return time.Duration(min(n*float64(unit), float64(maxTimeout))), true
-}
-
-// write sends the final answer to the client.
-func (a response) write(w http.ResponseWriter) {
-	switch a.status {
-	case http.StatusOK:
-		for name, values := range endToEnd(a.header) {
-			w.Header()[name] = values
-		}
-		if a.header["Content-Type"] == nil {
-			w.Header()["Content-Type"] = nil // not to be guessed
-		}
-		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-		_, _ = w.Write(a.body) // it fails if the client has gone: nobody is left to tell
-	case http.StatusServiceUnavailable:
-		writeUnavailable(w, a.retryAfter)
-	default:
-		w.WriteHeader(a.status)
-	}
-}
-
-// writeUnavailable answers that trying again is harmless, best after the pause.
-func writeUnavailable(w http.ResponseWriter, pause time.Duration) {
-	if pause > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
-	}
-	w.WriteHeader(http.StatusServiceUnavailable)
-}
-
-// endToEnd copies the headers that are meant for the other end, not for this connection.
-func endToEnd(from http.Header) http.Header {
-	to := make(http.Header, len(from)+2)
-	for name, values := range from {
-		to[name] = values
-	}
-	for _, list := range from["Connection"] {
-		for name := range strings.SplitSeq(list, ",") {
-			to.Del(textproto.TrimString(name))
-		}
-	}
-	for _, name := range []string{
-		"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
-		"Content-Length", "X-Server-Load",
-	} {
-		delete(to, name)
-	}
-	if to["User-Agent"] == nil {
-		to["User-Agent"] = nil // none was given, so none is made up
-	}
-	return to
-}
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -38,6 +38,18 @@
 	clientClosed func() bool // tells whether its client has closed its connection; nil: nobody knows
 }
 
+// newOutboundRequest is the request of a client that was read in full.
+func newOutboundRequest(r *http.Request, body []byte, clientClosed func() bool) *outboundRequest {
+	return &outboundRequest{
+		method:       r.Method,
+		uri:          r.RequestURI,
+		host:         r.Host,
+		header:       endToEnd(r.Header),
+		body:         body,
+		clientClosed: clientClosed,
+	}
+}
+
 // abandoned tells whether nobody waits for the answer any more.
 func (m *outboundRequest) abandoned() bool { return m.clientClosed != nil && m.clientClosed() }
 
