--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -265,7 +265,8 @@
 	x.cancel()
 	m := testMessage("2")
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, s.host, m, u.clock.now()+generous, u.clock.now()+generous); ending != policy.Cancelled {
+		deadline := u.clock.now() + generous
+		if _, ending := u.roundTrip(x, s.host, m, deadlines{response: deadline, write: deadline}); ending != policy.Cancelled {
 			t.Errorf("ending %v, want %v", ending, policy.Cancelled)
 		}
 		x.cancel() // once more: the connection is not its own any more
