--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -131,13 +131,9 @@
 
 // logCounters writes the counters of the Balancer, the transport and gossip since the start.
 func (l *eventLoop) logCounters() {
-	connections := l.transport.counters()
 	slog.Info("counters",
 		policyCounters(l.balancer.Counters()),
-		slog.Group("transport",
-			slog.Int("connections_open", connections["open"]),
-			slog.Int("connections_dialed", connections["dialled"]),
-			slog.Int("connections_stale", connections["stale"])),
+		slog.Any("transport", l.transport.counters()),
 		slog.Any("gossip", l.peers.counters()))
 }
 
