--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"cranehatch/internal/gossip"
+	"cranehatch/internal/loadreport"
 	"cranehatch/internal/simprotocol"
 	"cranehatch/policy"
 )
@@ -67,7 +68,7 @@
 type instance struct {
 	host   *host
 	number uint32
-	loads  simprotocol.Columns
+	loads  loadreport.Format
 	b      *policy.Balancer
 	logAt  time.Duration // when the counters are written next
 }
@@ -165,7 +166,7 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, loads: s.Columns()}
+	i := &instance{host: h, number: number, loads: s.ReportFormat()}
 	h.instances[number] = i
 	return i.guard(func() error {
 		b, err := policy.New(config, seed, i)
@@ -221,7 +222,7 @@
 		}
 		i.b.Outcome(now, policy.Outcome{
 			RequestID: policy.RequestID(f.Job), Attempt: int(f.Hop), Result: ending(f.Ending), Answered: f.Settled,
-			Report: i.loads.Load(f.Pressure),
+			Report: i.loads.Decode(f.Pressure),
 		})
 	case simprotocol.EvWake:
 		i.b.TimerFired(now)
@@ -242,7 +243,7 @@
 		if err != nil {
 			return err
 		}
-		i.b.HealthChecked(now, policy.EndpointID(up), end == simprotocol.EndServed, i.loads.Load(report))
+		i.b.HealthChecked(now, policy.EndpointID(up), end == simprotocol.EndServed, i.loads.Decode(report))
 	case simprotocol.EvHeard:
 		by, data, err := rec.Heard()
 		if err != nil {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -14,6 +14,7 @@
 	"strings"
 	"time"
 
+	"cranehatch/internal/loadreport"
 	"cranehatch/internal/simprotocol"
 	"cranehatch/policy"
 )
@@ -37,8 +38,8 @@
 	Classes map[string]int // class by name
 	Tenants map[string]int // tenant by name; empty where there are none
 	Zones   map[string]int // zone by name
-	Reports []string       // names of a load report's fields, in the order of Columns
-	Columns simprotocol.Columns
+
+	ReportFormat loadreport.Format // of X-Server-Load
 
 	MostOpen    int           // requests held at once
 	ConnIdle    time.Duration // an upstream closes connections that stood idle so long
@@ -172,7 +173,7 @@
 	for i, zone := range strings.Split(s.Text("zones"), ",") {
 		c.Zones[zone] = i
 	}
-	c.Reports, c.Columns = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
+	c.ReportFormat = s.ReportFormat()
 	c.MostOpen = int(s.Number("caps.max_open"))
 	c.ConnIdle = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -11,12 +11,11 @@
 	"net/http"
 	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
-	"cranehatch/internal/simprotocol"
+	"cranehatch/internal/loadreport"
 	"cranehatch/policy"
 )
 
@@ -59,8 +58,7 @@
 	keep        time.Duration // connections idle for longer are not used again
 	settle      time.Duration // connections rest so long after an answer
 	most        int           // connections at most
-	reports     []string
-	columns     simprotocol.Columns
+	reports     loadreport.Format
 	probePath   string
 
 	mu      sync.Mutex
@@ -92,7 +90,7 @@
 		clock: c,
 		// Keep-alive is no use against a silent machine; the time-outs are.
 		dial:        (&net.Dialer{KeepAlive: -1}).DialContext,
-		dialTimeout: cfg.DialTimeout, reports: cfg.Reports, columns: cfg.Columns,
+		dialTimeout: cfg.DialTimeout, reports: cfg.ReportFormat,
 		// Well before the server closes it: a request written from then on would end as a reset.
 		keep:      cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
 		settle:    settleTime,
@@ -172,7 +170,7 @@
 			done(result{ending: ending})
 			return
 		}
-		out := result{ending: policy.ServerError, load: u.load(res.Header.Get("X-Server-Load"))}
+		out := result{ending: policy.ServerError, load: u.reports.DecodeText(res.Header.Get("X-Server-Load"))}
 		switch never := res.Header.Get("X-Not-Processed") == "1"; {
 		case res.StatusCode == http.StatusOK:
 			out.ending, out.header, out.body = policy.Succeeded, res.Header, body
@@ -213,7 +211,7 @@
 			told(false, policy.LoadReport{})
 			return
 		}
-		told(res.StatusCode == http.StatusOK, u.load(string(body)))
+		told(res.StatusCode == http.StatusOK, u.reports.DecodeText(string(body)))
 	}()
 }
 
@@ -535,26 +533,3 @@
 	defer u.mu.Unlock()
 	return map[string]int{"open": u.open, "dialled": u.dialled, "stale": u.stale}
 }
-
-// load reads a report of the form "TEXT name=value, name=value".
-func (u *upstream) load(report string) policy.LoadReport {
-	report, ok := strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
-	if !ok {
-		return policy.LoadReport{}
-	}
-	values := simprotocol.Report{N: min(len(u.reports), len(simprotocol.Report{}.Values))}
-	for i := range values.N {
-		values.Values[i] = float32(math.NaN()) // absent
-	}
-	for field := range strings.SplitSeq(report, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		for i := range values.N {
-			if u.reports[i] == name {
-				if v, err := strconv.ParseFloat(value, 32); err == nil {
-					values.Values[i] = float32(v)
-				}
-			}
-		}
-	}
-	return u.columns.Load(values)
-}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -4,11 +4,12 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 	"time"
 
+	"cranehatch/internal/loadreport"
+	"cranehatch/internal/millis"
 	"cranehatch/policy"
 )
 
@@ -82,7 +83,7 @@
 func (s *Settings) Count(key string) int { return s.count(key) }
 
 // Duration returns a figure in milliseconds, or 0 where there is none; see Err.
-func (s *Settings) Duration(key string) time.Duration { return Millis(s.number(key, 0)) }
+func (s *Settings) Duration(key string) time.Duration { return millis.ToDuration(s.number(key, 0)) }
 
 // Number returns a figure, or 0 where there is none; see Err.
 func (s *Settings) Number(key string) float64 { return s.number(key, 0) }
@@ -116,58 +117,9 @@
 	return int(n)
 }
 
-// Columns are the fields of a load report in their order on the wire; 0 stands for one not known.
-type Columns []policy.ReportFields
-
-// Columns tells what the load reports hold.
-func (s *Settings) Columns() Columns {
-	var c Columns
-	for name := range strings.SplitSeq(s.text("telemetry.columns"), ",") {
-		c = append(c, map[string]policy.ReportFields{
-			"busy_reqs": policy.HasInFlight,
-			"pending":   policy.HasQueued,
-			"cpu_share": policy.HasUtilization,
-			"svc_ms":    policy.HasServiceTime,
-			"served_ps": policy.HasThroughput,
-			"failed_ps": policy.HasErrorRate,
-		}[name])
-	}
-	return c
-}
-
-// fields is the set of all columns.
-func (c Columns) fields() (all policy.ReportFields) {
-	for _, f := range c {
-		all |= f
-	}
-	return all
-}
-
-// Load reads a report by its columns. A value that is no usable number counts as absent.
-func (c Columns) Load(r Report) policy.LoadReport {
-	var l policy.LoadReport
-	for i := range min(r.N, len(c)) {
-		v := float64(r.Values[i])
-		if !(v >= 0) || math.IsInf(v, 0) {
-			continue
-		}
-		l.Fields |= c[i]
-		switch c[i] {
-		case policy.HasInFlight:
-			l.InFlight = v
-		case policy.HasQueued:
-			l.Queued = v
-		case policy.HasUtilization:
-			l.Utilization = v
-		case policy.HasServiceTime:
-			l.ServiceTime = Millis(v)
-		case policy.HasThroughput:
-			l.Throughput = v
-		case policy.HasErrorRate:
-			l.ErrorRate = v
-		}
-	}
-	return l
+// ReportFormat returns the format of the servers' load reports.
+func (s *Settings) ReportFormat() loadreport.Format {
+	return loadreport.ParseFormat(s.text("telemetry.columns"))
 }
 
 // Config turns the settings into the module's own.
@@ -180,35 +132,35 @@
 		CanCancel:          s.flag("caps.may_cancel"),
 		CanHealthCheck:     s.flag("caps.probes") && s.text("telemetry.how") != "silent",
 		CanGossip:          s.flag("caps.peers"),
-		MaxRetryAfter:      Millis(s.number("caps.max_retry_after_ms", 0)),
+		MaxRetryAfter:      millis.ToDuration(s.number("caps.max_retry_after_ms", 0)),
 		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
-		OrderingDelay:      Millis(s.number("rules.order_settle_ms", 0)),
-		DrainCloseTimeout:  Millis(s.number("rules.let_go_in_ms", 0)),
-		EventInterval:      Millis(s.number("period_ms", 0)),
+		OrderingDelay:      millis.ToDuration(s.number("rules.order_settle_ms", 0)),
+		DrainCloseTimeout:  millis.ToDuration(s.number("rules.let_go_in_ms", 0)),
+		EventInterval:      millis.ToDuration(s.number("period_ms", 0)),
 		PollsEndpoints:     s.text("discovery") == "ask",
-		PollInterval:       Millis(s.number("rules.ask_within_ms", 0)),
+		PollInterval:       millis.ToDuration(s.number("rules.ask_within_ms", 0)),
 		SlowStartFraction:  s.number("rules.cold_from", 0),
-		SlowStartDuration:  Millis(s.number("rules.cold_ms", 0)),
+		SlowStartDuration:  millis.ToDuration(s.number("rules.cold_ms", 0)),
 		OverloadFactor:     s.number("rules.fall_multiple", 0),
 		CrossZoneCost:      s.number("charges.cross_zone", 0),
 		RetryBudget: policy.RetryBudget{
-			Interval:   Millis(s.number("rules.budget_span_ms", 0)),
+			Interval:   millis.ToDuration(s.number("rules.budget_span_ms", 0)),
 			MinRetries: s.number("rules.extra_free", 0),
 			RetryRatio: s.number("rules.further_ratio", 0),
 		},
 	}
 	if s.text("telemetry.how") != "silent" {
-		c.ReportFields = s.Columns().fields()
+		c.ReportFields = s.ReportFormat().Fields()
 	}
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := policy.Class{
-			LatencyObjective: Millis(s.number(p+"aim_ms", 0)),
+			LatencyObjective: millis.ToDuration(s.number(p+"aim_ms", 0)),
 			ObjectivePerWork: s.number(p+"aim_stretch", 0),
-			Deadline:         Millis(s.number(p+"hard_limit_ms", 0)),
+			Deadline:         millis.ToDuration(s.number(p+"hard_limit_ms", 0)),
 			LateValue:        s.number(p+"late_share", 0),
 			PriorityWeight:   s.number(p+"worth", 0),
-			DedupWindow:      Millis(s.number(p+"window_ms", 0)),
+			DedupWindow:      millis.ToDuration(s.number(p+"window_ms", 0)),
 			Idempotency:      policy.NonIdempotent, // an unknown word is taken for the strictest
 			DedupScope:       policy.DedupInCell,
 			OrderedByKey:     s.flag(p + "fifo_by_key"),
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -9,6 +9,9 @@
 	"io"
 	"math"
 	"time"
+
+	"cranehatch/internal/loadreport"
+	"cranehatch/internal/millis"
 )
 
 // Event codes.
@@ -86,25 +89,6 @@
 	chunk = 1 << 20
 )
 
-// Millis turns milliseconds on the wire into a duration. What no duration can
-// hold is cut to the ends, and a NaN is 0.
-func Millis(ms float64) time.Duration {
-	const most = 1 << 62
-	ns := math.Round(ms * 1e6)
-	switch {
-	case ns != ns:
-		return 0
-	case ns > most:
-		return most
-	case ns < -most:
-		return -most
-	}
-	return time.Duration(ns)
-}
-
-// ToMillis is the inverse of Millis.
-func ToMillis(d time.Duration) float64 { return float64(d) / 1e6 }
-
 // Batch is one frame of events.
 type Batch struct {
 	Number  uint32
@@ -138,7 +122,7 @@
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
 	}
-	b.Clock = Millis(clock)
+	b.Clock = millis.ToDuration(clock)
 	if size > maxFrame {
 		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrame)
 	}
@@ -246,15 +230,15 @@
 	return Upstream(binary.LittleEndian.Uint64(b[:]))
 }
 
-func (c *cursor) report() Report {
-	var r Report
+func (c *cursor) report() loadreport.Report {
+	var r loadreport.Report
 	n := int(c.u8())
 	f := c.take(4 * n)
 	if f == nil {
 		return r
 	}
-	r.N = min(n, len(r.Values))
-	for i := range r.N {
+	r.Count = min(n, len(r.Values))
+	for i := range r.Count {
 		r.Values[i] = math.Float32frombits(binary.LittleEndian.Uint32(f[4*i:]))
 	}
 	return r
@@ -270,12 +254,6 @@
 // Upstream is an address and port: the six bytes of the wire, first byte lowest.
 type Upstream uint64
 
-// Report is a load report: up to four values in the order of the settings.
-type Report struct {
-	N      int
-	Values [4]float32
-}
-
 // Entry is one line of a server list.
 type Entry struct {
 	Upstream Upstream
@@ -306,7 +284,7 @@
 	for i := range entries {
 		e := Entry{Upstream: c.addr(), Area: c.u8(), Family: c.u8(), Cohort: c.u16(), Status: c.u8()}
 		e.Rating = float64(math.Float32frombits(c.u32()))
-		e.Boot = Millis(c.f64())
+		e.Boot = millis.ToDuration(c.f64())
 		entries[i] = e
 	}
 	return page, entries, c.done(r.Code)
@@ -345,7 +323,7 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	a := Ask{Job: c.u32(), Bits: c.u16(), Key: c.u64(), Tenant: c.u32()}
-	a.Left, a.Hint, a.Kind = Millis(c.f64()), Millis(c.f64()), c.u8()
+	a.Left, a.Hint, a.Kind = millis.ToDuration(c.f64()), millis.ToDuration(c.f64()), c.u8()
 	return a, c.done(r.Code)
 }
 
@@ -357,7 +335,7 @@
 	Ending   uint16
 	Took     time.Duration
 	Settled  bool
-	Pressure Report
+	Pressure loadreport.Report
 }
 
 // Finished reads the outcome of an attempt.
@@ -365,12 +343,12 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	f := Finished{Job: c.u32(), Hop: c.u8(), Upstream: c.addr(), Ending: c.u16()}
-	f.Took, f.Settled, f.Pressure = Millis(c.f64()), c.u8() != 0, c.report()
+	f.Took, f.Settled, f.Pressure = millis.ToDuration(c.f64()), c.u8() != 0, c.report()
 	return f, c.done(r.Code)
 }
 
 // CheckResult reads the result of a probe.
-func (r Record) CheckResult() (up Upstream, ending uint16, report Report, err error) {
+func (r Record) CheckResult() (up Upstream, ending uint16, report loadreport.Report, err error) {
 	c := cursor{b: r.Fields}
 	c.u32()
 	up, ending = c.addr(), c.u16()
@@ -454,13 +432,13 @@
 	p.head(ActCallOut, 22, inst)
 	p.u32(job)
 	p.addr(to)
-	p.f64(ToMillis(patience))
+	p.f64(millis.FromDuration(patience))
 }
 
 // SetAlarm asks for a Wake.
 func (p *Reply) SetAlarm(inst uint32, after time.Duration, cookie uint64) {
 	p.head(ActSetAlarm, 20, inst)
-	p.f64(ToMillis(after))
+	p.f64(millis.FromDuration(after))
 	p.u64(cookie)
 }
 
@@ -480,7 +458,7 @@
 func (p *Reply) PushBack(inst, job uint32, pause time.Duration) {
 	p.head(ActPushBack, 16, inst)
 	p.u32(job)
-	p.f64(ToMillis(pause))
+	p.f64(millis.FromDuration(pause))
 }
 
 // Lose fails a request.
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -8,11 +8,11 @@
 	"io"
 	"math"
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"cranehatch/internal/loadreport"
 	"cranehatch/policy"
 )
 
@@ -81,24 +81,9 @@
 	rec, _, _ = Next(unhex(t, `e803 25000000 03000000 0a9011f2 bc1f 6400 666666666666f63f
 		04 0000003f0000684100000c430000e040`))
 	up, end, report, err := rec.CheckResult()
-	if err != nil || up != entries[1].Upstream || end != EndServed || report.N != 4 || report.Values[3] != 7 {
+	if err != nil || up != entries[1].Upstream || end != EndServed || report.Count != 4 || report.Values[3] != 7 {
 		t.Fatalf("probe of %x: %d, report %+v, error %v", up, end, report, err)
 	}
-	columns := Columns{policy.HasUtilization, policy.HasServiceTime, policy.HasThroughput, policy.HasInFlight}
-	want := policy.LoadReport{Fields: columns.fields(), Utilization: 0.5, ServiceTime: 14500 * time.Microsecond, Throughput: 140, InFlight: 7}
-	if l := columns.Load(report); l != want {
-		t.Fatalf("load %+v, want %+v", l, want)
-	}
-	if l := (Columns{0, policy.HasUtilization}).Load(report); l.Fields != policy.HasUtilization || l.Utilization != 14.5 {
-		t.Fatalf("load %+v, want the second column alone", l)
-	}
-	report.Values[0] = float32(math.NaN())
-	if l := columns.Load(report); l.Fields&policy.HasUtilization != 0 {
-		t.Fatalf("load %+v: a value that is no number counts", l)
-	}
-	if l := columns.Load(Report{}); l != (policy.LoadReport{}) {
-		t.Fatalf("absent load %+v, want it unknown", l)
-	}
 	rec, _, _ = Next(unhex(t, "1a04 0b000000 03000000 03 29000000 0700"))
 	if kind, version, page, err := rec.Fleet(); err != nil || kind != FleetCached || version != 41 || page != 7 {
 		t.Fatalf("fleet: kind %d version %d page %d, error %v", kind, version, page, err)
@@ -201,17 +186,6 @@
 	}
 }
 
-func TestMillis(t *testing.T) {
-	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
-		if got := Millis(ToMillis(d)); got != d {
-			t.Errorf("%v comes back as %v", d, got)
-		}
-	}
-	if Millis(math.NaN()) != 0 || Millis(math.Inf(1)) <= 0 || Millis(math.Inf(-1)) >= 0 {
-		t.Error("what is no number, or infinite, is not cut to a safe duration")
-	}
-}
-
 const someSettings = `balancers=3
 caps.may_cancel=true
 caps.most_tries=3
@@ -268,11 +242,12 @@
 		c.DrainCloseTimeout != 300*time.Millisecond || c.OrderingDelay != 250*time.Millisecond || !c.Classes[1].OrderedByKey {
 		t.Errorf("config of the further rules %+v", c)
 	}
-	want := Columns{policy.HasErrorRate, policy.HasServiceTime, policy.HasThroughput, policy.HasInFlight}
+	want := loadreport.ParseFormat("failed_ps,svc_ms,served_ps,busy_reqs")
 	if c.Tenants[0].Quota != 342 || c.Tenants[0].Weight != 0.79 {
 		t.Errorf("tenant %+v", c.Tenants[0])
 	}
-	if got := s.Columns(); !slices.Equal(got, want) || c.ReportFields != got.fields() {
+	if got := s.ReportFormat(); !reflect.DeepEqual(got, want) || c.ReportFields != got.Fields() ||
+		c.ReportFields != policy.HasErrorRate|policy.HasServiceTime|policy.HasThroughput|policy.HasInFlight {
 		t.Errorf("columns %+v", got)
 	}
 	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
