--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -15,6 +15,7 @@
 
 	"cranehatch/internal/gossip"
 	"cranehatch/internal/loadreport"
+	"cranehatch/internal/settings"
 	"cranehatch/internal/simprotocol"
 	"cranehatch/policy"
 )
@@ -158,11 +159,11 @@
 	if err != nil {
 		return err
 	}
-	s, err := simprotocol.ParseSettings(info)
+	s, err := settings.Parse(info)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	config, err := s.Config()
+	config, err := s.PolicyConfig()
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,7 +15,7 @@
 	"cranehatch/policy"
 )
 
-const settings = `balancers=2
+const exampleSettings = `balancers=2
 caps.may_cancel=true
 caps.most_tries=3
 classes.count=1
@@ -44,7 +44,7 @@
 }
 
 func open(inst uint32, seed uint64) []byte {
-	return record(simprotocol.EvOpenInstance, inst, seed, uint32(len(settings)), settings)
+	return record(simprotocol.EvOpenInstance, inst, seed, uint32(len(exampleSettings)), exampleSettings)
 }
 
 func manifest(page uint16, addrs ...byte) []byte {
@@ -118,7 +118,7 @@
 
 // Settings, list and keys reach the module: a drained server's connections are closed, and a key goes in turn.
 func TestFurtherRulesReachTheModule(t *testing.T) {
-	info := settings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
+	info := exampleSettings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
 	inst := record(simprotocol.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
 	drained := manifest(4, 77)
 	drained[6+2+4+6+1+1+2] = simprotocol.StateDraining
@@ -145,7 +145,7 @@
 		"rules.order_settle_ms=x\n":                           "rules.order_settle_ms",
 		"rules.cold_from=2\n":                                 "ColdFrom",
 	} {
-		info := settings + setting
+		info := exampleSettings + setting
 		err := serve(bytes.NewReader(batch(1, 0, record(simprotocol.EvOpenInstance, uint32(1), uint64(5),
 			uint32(len(info)), info))), io.Discard)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
@@ -212,7 +212,7 @@
 
 // What one instance tells reaches the module of another; what is no news is dropped, and both go on.
 func TestNewsPassesBetweenInstances(t *testing.T) {
-	told := strings.ReplaceAll(settings, "balancers=1", "balancers=2") + "\ncaps.peers=true"
+	told := strings.ReplaceAll(exampleSettings, "balancers=1", "balancers=2") + "\ncaps.peers=true"
 	boot := func(i uint32) []byte {
 		return record(simprotocol.EvOpenInstance, i, uint64(5), uint32(len(told)+5), told+"\nme="+string(rune('0'+i)))
 	}
--- a/cmd/simadapter/settings_test.go
+++ b/cmd/simadapter/settings_test.go
@@ -17,7 +17,7 @@
 // bootInfo is a file of settings as the simulator gives them: one path=value a line.
 func bootInfo(t *testing.T, file string) string {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "simprotocol", "testdata", file))
+	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "settings", "testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cranehatch/internal/loadreport"
-	"cranehatch/internal/simprotocol"
+	"cranehatch/internal/settings"
 	"cranehatch/policy"
 )
 
@@ -112,7 +112,7 @@
 	if len(file.Settings) == 0 {
 		return nil, fmt.Errorf("config: settings are missing")
 	}
-	s, err := simprotocol.SettingsFromJSON(file.Settings)
+	s, err := settings.ParseJSON(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -157,9 +157,9 @@
 }
 
 // take reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) take(s *simprotocol.Settings) error {
+func (c *Config) take(s *settings.Settings) error {
 	var err error
-	if c.Policy, err = s.Config(); err != nil {
+	if c.Policy, err = s.PolicyConfig(); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	names := func(list string) map[string]int {
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"cranehatch/internal/simprotocol"
+	"cranehatch/internal/settings"
 	"cranehatch/policy"
 )
 
@@ -42,7 +42,7 @@
 // under replaces the settings of a test by those of a file.
 func under(t *testing.T, file string) func(file, settings map[string]any) {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("..", "simprotocol", "testdata", file))
+	raw, err := os.ReadFile(filepath.Join("..", "settings", "testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,11 +122,11 @@
 func TestLimitsAreOfTheFileInUse(t *testing.T) {
 	for _, d := range []deployment{deployments[0], deployments[1], deployments[0]} {
 		cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), under(t, d.file))
-		raw, err := os.ReadFile(filepath.Join("..", "simprotocol", "testdata", d.file))
+		raw, err := os.ReadFile(filepath.Join("..", "settings", "testdata", d.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := simprotocol.SettingsFromJSON(raw)
+		s, err := settings.ParseJSON(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -7,13 +7,9 @@
 	"errors"
 	"io"
 	"math"
-	"reflect"
 	"strings"
 	"testing"
 	"time"
-
-	"cranehatch/internal/loadreport"
-	"cranehatch/policy"
 )
 
 func unhex(t testing.TB, s string) []byte {
@@ -186,84 +182,6 @@
 	}
 }
 
-const someSettings = `balancers=3
-caps.may_cancel=true
-caps.most_tries=3
-caps.probes=true
-caps.retry_after=false
-charges.cross_zone=0.03
-classes.count=2
-classes.0.aim_ms=500.0
-classes.0.dedup_scope=cell
-classes.0.hard_limit_ms=1000.0
-classes.0.semantics=guarded
-classes.0.window_ms=600.0
-classes.0.worth=5.0
-classes.1.aim_ms=600.0
-classes.1.hard_limit_ms=2500.0
-classes.1.fifo_by_key=true
-classes.1.semantics=a_word_of_a_later_version
-discovery=ask
-orgs.count=1
-orgs.0.quota_per_s=342.0
-orgs.0.share=0.79
-rules.budget_span_ms=10000.0
-rules.extra_free=1.0
-rules.further_ratio=0.2
-rules.let_go_in_ms=300.0
-rules.order_settle_ms=250.0
-rules.cold_from=0.32
-some.key.of.a.later.version=x=y
-telemetry.columns=failed_ps,svc_ms,served_ps,busy_reqs
-telemetry.how=pull
-zone=2
-`
-
-func TestSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(someSettings))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := s.Config()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c.Balancers != 3 || c.Zone != 2 || c.MaxAttempts != 3 || !c.CanCancel || !c.CanHealthCheck ||
-		!c.PollsEndpoints || c.SlowStartFraction != 0.32 || c.CrossZoneCost != 0.03 {
-		t.Errorf("config %+v", c)
-	}
-	if k := c.Classes[0]; k.Idempotency != policy.IdempotentByKey || k.DedupScope != policy.DedupInCell || k.DedupWindow != 600*time.Millisecond {
-		t.Errorf("class 0 %+v", k)
-	}
-	if c.Classes[1].Idempotency != policy.NonIdempotent {
-		t.Error("an unknown effect is not taken for the strictest")
-	}
-	if b := (policy.RetryBudget{Interval: 10 * time.Second, MinRetries: 1, RetryRatio: 0.2}); c.RetryBudget != b ||
-		c.DrainCloseTimeout != 300*time.Millisecond || c.OrderingDelay != 250*time.Millisecond || !c.Classes[1].OrderedByKey {
-		t.Errorf("config of the further rules %+v", c)
-	}
-	want := loadreport.ParseFormat("failed_ps,svc_ms,served_ps,busy_reqs")
-	if c.Tenants[0].Quota != 342 || c.Tenants[0].Weight != 0.79 {
-		t.Errorf("tenant %+v", c.Tenants[0])
-	}
-	if got := s.ReportFormat(); !reflect.DeepEqual(got, want) || c.ReportFields != got.Fields() ||
-		c.ReportFields != policy.HasErrorRate|policy.HasServiceTime|policy.HasThroughput|policy.HasInFlight {
-		t.Errorf("columns %+v", got)
-	}
-	for _, bad := range []string{"balancers=three", "classes.count=-1", "classes.count=1e9", "orgs.count=1.5"} {
-		s, err := ParseSettings([]byte(bad))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := s.Config(); err == nil {
-			t.Errorf("%s: no error", bad)
-		}
-	}
-	if _, err := ParseSettings([]byte("no equals sign")); err == nil {
-		t.Error("a line without '=': no error")
-	}
-}
-
 func FuzzReader(f *testing.F) {
 	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
 	f.Add(frame(0, 0, 0, ""))
@@ -290,38 +208,3 @@
 		}
 	})
 }
-
-// Both forms of the settings are one: the same figures, names and lists.
-func TestSettingsFromJSON(t *testing.T) {
-	const lines = "balancers=3\ncaps.may_cancel=true\ncaps.most_tries=3\ncaps.probes=true\ntelemetry.how=pull\n" +
-		"telemetry.columns=svc_ms,busy_reqs\nclasses.count=2\nclasses.0.aim_ms=500.0\nclasses.0.hard_limit_ms=1000.0\n" +
-		"classes.0.semantics=guarded\nclasses.1.aim_ms=600\nclasses.1.hard_limit_ms=2500\norgs.count=1\norgs.0.share=0.79\norgs.0.quota_per_s=131\n"
-	const nested = `{"balancers":3,"caps":{"may_cancel":true,"most_tries":3,"probes":true},
-		"telemetry":{"how":"pull","columns":["svc_ms","busy_reqs"]},"weights":null,
-		"classes":[{"aim_ms":500.0,"hard_limit_ms":1000.0,"semantics":"guarded"},{"aim_ms":600,"hard_limit_ms":2500}],
-		"orgs":[{"share":0.79,"quota_per_s":131}]}`
-	a, err := ParseSettings([]byte(lines))
-	if err != nil {
-		t.Fatal(err)
-	}
-	b, err := SettingsFromJSON([]byte(nested))
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := a.Config()
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, err := b.Config()
-	if err != nil || !reflect.DeepEqual(got, want) || len(got.Classes) != 2 || got.ReportFields != policy.HasServiceTime|policy.HasInFlight {
-		t.Errorf("config %+v, error %v, want %+v", got, err, want)
-	}
-	if b.Text("weights") != "" || b.Count("orgs.count") != 1 || b.Duration("classes.1.aim_ms") != 600*time.Millisecond {
-		t.Errorf("values %v", b.values)
-	}
-	for _, bad := range []string{"", "[]", "5", "{"} {
-		if _, err := SettingsFromJSON([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
-		}
-	}
-}
