--- /dev/null
+++ b/cmd/simadapter/adapter_test.go
@@ -0,0 +1,231 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"cranehatch/internal/gossip"
+	"cranehatch/internal/simprotocol"
+	"cranehatch/policy"
+)
+
+func TestEmptyBatchesAndEndOfInput(t *testing.T) {
+	var out bytes.Buffer
+	if err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out); err != nil || out.Len() != 24 {
+		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
+	}
+}
+
+// Settings, endpoint lists and request keys reach the Balancer: idle connections to a draining endpoint are
+// closed, and requests of one key are sent in order.
+func TestSettingsAndKeysReachTheBalancer(t *testing.T) {
+	text := exampleSettings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
+	draining := endpointList(4, 77)
+	draining[firstStateOffset] = simprotocol.StateDraining
+	keyed := func(id uint32) []byte { return request{id: id, key: 9, timeoutMS: 800}.arrived(1) }
+	all := serveActions(t, slices.Concat(
+		batch(1, 0, instanceStarted(1, 5, text), endpointList(3, 77, 78), endpointsUpdated(1, simprotocol.UpdateCached, 3),
+			keyed(100), keyed(101)),
+		batch(2, 5, draining, endpointsUpdated(1, simprotocol.UpdateDelta, 4))))
+	if sends := actionsOf(all, simprotocol.ActionSend, 1); len(sends) != 1 {
+		t.Errorf("%d sends for two requests of one key, want 1", len(sends))
+	}
+	if closed := actionsOf(all, simprotocol.ActionCloseIdle, 1); len(closed) != 1 || closed[0].fields[addressHostOffset] != 77 {
+		t.Errorf("closed %v, want .77", closed)
+	}
+}
+
+// A value that cannot be used ends the adapter with one line that names its field.
+func TestUnusableSettingsAreNamed(t *testing.T) {
+	for _, test := range []struct{ name, setting, field string }{
+		{"negative retry ratio", "rules.further_ratio=-1\nrules.budget_span_ms=1000\n", "Budget"},
+		{"retry ratio without interval", "rules.further_ratio=0.2\n", "Budget"},
+		{"negative close timeout", "rules.let_go_in_ms=-5\n", "CloseWithin"},
+		{"delay not a number", "rules.order_settle_ms=x\n", "rules.order_settle_ms"},
+		{"slow-start fraction above 1", "rules.cold_from=2\n", "ColdFrom"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			err := serve(bytes.NewReader(batch(1, 0, instanceStarted(1, 5, exampleSettings+test.setting))), io.Discard)
+			if err == nil || !strings.Contains(err.Error(), test.field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line that names %s", err, test.field)
+			}
+		})
+	}
+}
+
+// An update refers to the endpoint list that has the number at that moment.
+func TestListNumberIsResolvedInEventOrder(t *testing.T) {
+	all := serveActions(t, batch(1, 0,
+		instanceStarted(1, 5, exampleSettings), endpointList(3, 77), endpointsUpdated(1, simprotocol.UpdateCached, 3), requestArrived(1, 100),
+		instanceStarted(2, 6, exampleSettings), endpointList(3, 88), endpointsUpdated(2, simprotocol.UpdateCached, 3), requestArrived(2, 200)))
+	const sendHostOffset = 4 + addressHostOffset // after the request ID
+	for instance, want := range map[uint32]byte{1: 77, 2: 88} {
+		t.Run(fmt.Sprint("instance ", instance), func(t *testing.T) {
+			sends := actionsOf(all, simprotocol.ActionSend, instance)
+			if len(sends) != 1 || sends[0].fields[sendHostOffset] != want {
+				t.Errorf("sends %v, want one to .%d", sends, want)
+			}
+			if watches := actionsOf(all, simprotocol.ActionWatchEndpoints, instance); len(watches) != 1 {
+				t.Errorf("%d subscriptions to the endpoint list, want 1", len(watches))
+			}
+		})
+	}
+}
+
+func TestRestartInOneBatch(t *testing.T) {
+	all := serveActions(t, slices.Concat(
+		batch(1, 0, instanceStarted(1, 5, exampleSettings), endpointList(0, 7), endpointsUpdated(1, simprotocol.UpdateCached, 0), requestArrived(1, 100)),
+		batch(2, 5, instanceStopped(1), requestArrived(1, 101),
+			instanceStarted(1, 6, exampleSettings), endpointsUpdated(1, simprotocol.UpdateCached, 0), requestArrived(1, 102)),
+		batch(3, 10, attemptEnded(1, 100, 0, 7, simprotocol.ResultSucceeded, 1)),
+		batch(4, 15, instanceStopped(1), requestArrived(1, 103))))
+	if sends := actionsOf(all, simprotocol.ActionSend, 1); len(sends) != 2 {
+		t.Fatalf("%d sends, want one before and one after the restart, none while it was stopped", len(sends))
+	}
+}
+
+// Instances do not influence each other: two in one process act as each does in a process of its own.
+func TestInstancesAreIndependent(t *testing.T) {
+	input := func(instances ...uint32) []byte {
+		var stream []byte
+		for n := range uint32(60) {
+			var records [][]byte
+			for _, i := range instances {
+				if n == 0 {
+					records = append(records, instanceStarted(i, uint64(i), exampleSettings),
+						endpointList(uint16(i), 1, 2, 3, 4), endpointsUpdated(i, simprotocol.UpdateFull, uint16(i)))
+				}
+				records = append(records, requestArrived(i, 1000*i+n), timerFired(i))
+				if n > 4 {
+					records = append(records, eventRecord(simprotocol.EventClientDisconnected, i, 1000*i+n-4))
+				}
+			}
+			stream = append(stream, batch(n, float64(10*n), records...)...)
+		}
+		return stream
+	}
+	together := serveActions(t, input(1, 2))
+	for _, i := range []uint32{1, 2} {
+		alone := serveActions(t, input(i))
+		own := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != i })
+		if !slices.Equal(alone, own) || len(own) < 60 {
+			t.Fatalf("instance %d: %d actions together, %d alone, or they differ", i, len(own), len(alone))
+		}
+	}
+}
+
+// Instances broadcast gossip messages, and those of others reach the Balancer. A malformed one is dropped.
+func TestGossipBetweenInstances(t *testing.T) {
+	started := func(instance uint32) []byte {
+		return instanceStarted(instance, 5, fmt.Sprintf("%s\ncaps.peers=true\nme=%d", exampleSettings, instance))
+	}
+	input := batch(1, 0, started(0), started(1), endpointList(0, 7, 8), endpointsUpdated(0, simprotocol.UpdateCached, 0), requestArrived(0, 100))
+	number := uint32(2)
+	for ; number < 60; number++ {
+		input = append(input, batch(number, float64(100*number), timerFired(0))...)
+	}
+	if broadcasts := actionsOf(serveActions(t, input), simprotocol.ActionBroadcast, 0); len(broadcasts) == 0 {
+		t.Fatal("no broadcast")
+	}
+	message := gossip.Encode(policy.GossipMessage{SentAt: 6 * time.Second, RequestRate: 5})
+	input = append(input, batch(number, 6000,
+		gossipReceived(1, 0, message), gossipReceived(1, 0, message), gossipReceived(1, 0, []byte("malformed")))...)
+	a := handleAll(t, input)
+	if c := a.instances[1].balancer.Counters(); c.GossipReceived != 1 || c.GossipDropped != 1 {
+		t.Fatalf("received %d and dropped %d, want one of each: the second is a duplicate", c.GossipReceived, c.GossipDropped)
+	}
+}
+
+// handleAll handles all batches and returns the adapter.
+func handleAll(t *testing.T, input []byte) *adapter {
+	t.Helper()
+	a := newAdapter()
+	reader := simprotocol.NewReader(bytes.NewReader(input))
+	for {
+		b, err := reader.ReadBatch()
+		if errors.Is(err, io.EOF) {
+			return a
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		a.reply.Begin(b.Number)
+		if err := a.handleBatch(b); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestUnknownRecordsAreIgnored(t *testing.T) {
+	const unknownEvent, unknownKind, unknownInstance = 4711, 99, 44
+	all := serveActions(t, batch(1, 0,
+		eventRecord(unknownEvent, uint32(9), "anything"), instanceStarted(1, 5, exampleSettings), gossipReceived(1, 2, nil),
+		endpointList(0, 7), endpointsUpdated(1, unknownKind, 0), endpointsUpdated(1, simprotocol.UpdateCached, 0),
+		requestArrived(1, 100), requestArrived(unknownInstance, 100)))
+	if len(actionsOf(all, simprotocol.ActionSend, 1)) != 1 ||
+		slices.ContainsFunc(all, func(a action) bool { return a.instance == unknownInstance }) {
+		t.Fatalf("actions %v", all)
+	}
+}
+
+func TestMalformedInputEndsWithAnError(t *testing.T) {
+	started := instanceStarted(1, 5, exampleSettings)
+	trailing := append(batch(1, 0), 1, 2, 3)
+	trailing[8] = 3 // the size
+	for _, test := range []struct {
+		name  string
+		input []byte
+		err   error // nil: any
+	}{
+		{"truncated batch", batch(1, 0, started)[:30], io.ErrUnexpectedEOF},
+		{"list never sent", batch(1, 0, started, endpointsUpdated(1, simprotocol.UpdateFull, 9)), nil},
+		{"truncated record", batch(1, 0, started, eventRecord(simprotocol.EventRequestArrived, uint32(1), uint32(3))), simprotocol.ErrTruncated},
+		{"unusable settings", batch(1, 0, instanceStarted(1, 1, "balancers=0")), nil},
+		{"settings without equals sign", batch(1, 0, instanceStarted(1, 1, "abc")), nil},
+		{"trailing bytes", trailing, simprotocol.ErrTrailingBytes},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			err := serve(bytes.NewReader(test.input), io.Discard)
+			var batchError *simprotocol.BatchError
+			if !errors.As(err, &batchError) || batchError.Number != 1 || strings.Contains(err.Error(), "\n") {
+				t.Fatalf("error %v, want one plain line about batch 1", err)
+			}
+			if test.err != nil && !errors.Is(err, test.err) {
+				t.Errorf("error %v, want %v", err, test.err)
+			}
+		})
+	}
+}
+
+func TestPanicIsReportedAsAFault(t *testing.T) {
+	a := newAdapter()
+	a.reply.Begin(1)
+	i := &instance{adapter: a, number: 4, balancer: &policy.Balancer{}}
+	if err := i.recoverFault(func() error { panic("index out of range") }); err != nil {
+		t.Fatal(err)
+	}
+	all := splitActions(t, a.reply.Bytes()[replyHeaderLen:])
+	if faults := actionsOf(all, simprotocol.ActionFault, 4); len(faults) != 1 || !strings.Contains(faults[0].fields, "index out of range") {
+		t.Errorf("actions %v, want one fault", all)
+	}
+	if i.running() {
+		t.Error("the instance still runs")
+	}
+}
+
+// The counters are logged once per interval, and not with the first event.
+func TestCountersAreLogged(t *testing.T) {
+	all := serveActions(t, slices.Concat(
+		batch(1, 0, instanceStarted(1, 5, exampleSettings)),
+		batch(2, 5, timerFired(1)), batch(3, 9000, timerFired(1)), batch(4, 10005, timerFired(1)), batch(5, 10010, timerFired(1))))
+	logs := slices.DeleteFunc(actionsOf(all, simprotocol.ActionLog, 1), func(a action) bool { return !strings.Contains(a.fields, "counters {") })
+	if len(logs) != 1 {
+		t.Errorf("logs %v, want the counters once", logs)
+	}
+}
--- /dev/null
+++ b/cmd/simadapter/host.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"time"
+
+	"cranehatch/internal/gossip"
+	"cranehatch/policy"
+)
+
+// The methods of policy.Host.
+
+func (i *instance) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
+	i.adapter.reply.Send(i.number, id, to, timeout) // the simulator begins an attempt at once
+}
+
+func (i *instance) Reject(id policy.RequestID, pause time.Duration) {
+	i.adapter.reply.Reject(i.number, id, pause)
+}
+
+func (i *instance) Fail(id policy.RequestID) { i.adapter.reply.Fail(i.number, id) }
+
+func (i *instance) Cancel(id policy.RequestID, attempt int) {
+	i.adapter.reply.Cancel(i.number, id, attempt)
+}
+
+func (i *instance) SetTimer(after time.Duration) {
+	const cookie = 0 // not used: an instance has one kind of timer
+	i.adapter.reply.SetTimer(i.number, after, cookie)
+}
+
+func (i *instance) HealthCheck(to policy.EndpointID) { i.adapter.reply.HealthCheck(i.number, to) }
+
+func (i *instance) CloseIdle(to policy.EndpointID) { i.adapter.reply.CloseIdle(i.number, to) }
+
+func (i *instance) Broadcast(message policy.GossipMessage) {
+	i.adapter.reply.Broadcast(i.number, gossip.Encode(message))
+}
+
+func (i *instance) WatchEndpoints() { i.adapter.reply.WatchEndpoints(i.number) }
+
+func (i *instance) Log(message string) { i.adapter.reply.Log(i.number, message) }
--- a/cmd/simadapter/settings_test.go
+++ b/cmd/simadapter/settings_test.go
@@ -14,8 +14,8 @@
 	"cranehatch/internal/simprotocol"
 )
 
-// bootInfo is a file of settings as the simulator gives them: one path=value a line.
-func bootInfo(t *testing.T, file string) string {
+// settingsLines converts a JSON file of settings to the form that the simulator sends: path=value lines.
+func settingsLines(t *testing.T, file string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "..", "internal", "settings", "testdata", file))
 	if err != nil {
@@ -46,66 +46,88 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// Instances of two deployments in one process each go by their own settings: how often a request of a class that
-// fails is sent, how it ends, how long an attempt may take, and which classes and tenants there are.
+// outcome is what must become of a request whose every attempt fails.
+type outcome struct {
+	sends        int
+	answer       simprotocol.ActionCode
+	maxTimeoutMS float64 // of an attempt
+}
+
+// outcomes are those of the classes, by the settings file that the classes are from.
+var outcomes = map[string][]outcome{
+	"piste.json": {{3, simprotocol.ActionReject, 10000}, {3, simprotocol.ActionReject, 20000}, {1, simprotocol.ActionFail, 30000}, {0, simprotocol.ActionReject, 0}},
+	"desk.json":  {{1, simprotocol.ActionFail, 15000}, {1, simprotocol.ActionFail, 12000}, {2, simprotocol.ActionFail, 11000}, {2, simprotocol.ActionReject, 13000}},
+}
+
+// Instances of two deployments in one process each use their own settings: how often a request of a class that
+// fails is sent, how it is answered, how long an attempt may take, and which classes and tenants there are.
 func TestSettingsAreOfTheInstance(t *testing.T) {
 	files := []string{"piste.json", "desk.json", "piste.json"}
-	type want struct {
-		class    uint8
-		sends    int
-		end      uint16
-		patience float64
-	}
-	wants := map[string][]want{
-		"piste.json": {{0, 3, simprotocol.ActPushBack, 10000}, {1, 3, simprotocol.ActPushBack, 20000}, {2, 1, simprotocol.ActLose, 30000}, {3, 0, simprotocol.ActPushBack, 0}},
-		"desk.json":  {{0, 1, simprotocol.ActLose, 15000}, {1, 1, simprotocol.ActLose, 12000}, {2, 2, simprotocol.ActLose, 11000}, {3, 2, simprotocol.ActPushBack, 13000}},
-	}
-	for class := range 4 { // one at a time: admission learns from failures
-		var first [][]byte
+	for class := range 4 { // one class at a time, as failures of one affect the admission of others
+		all := serveActions(t, failingRequests(t, files, uint8(class)))
 		for i, file := range files {
-			info := bootInfo(t, file)
-			first = append(first,
-				record(simprotocol.EvOpenInstance, uint32(i), uint64(5), uint32(len(info)), info),
-				manifest(uint16(i), 1, 2, 3, 4), fleet(uint32(i), simprotocol.FleetFull, uint16(i)),
-				record(simprotocol.EvAsk, uint32(i), uint32(100), uint16(0), uint64(0), uint32(1), float64(40000), float64(0), uint8(class)),
-				// tenants there are two and three
-				record(simprotocol.EvAsk, uint32(i), uint32(101), uint16(0), uint64(0), uint32(3), float64(40000), float64(0), uint8(0)))
-		}
-		batches := [][]byte{batch(1, 0, first...)}
-		for hop := range 4 { // outcomes of attempts that were not made are passed over
-			var ends [][]byte
-			for i := range files {
-				ends = append(ends, record(simprotocol.EvFinished, uint32(i), uint32(100), uint8(hop), []byte{10, 0, 0, 1, 80, 0},
-					uint16(simprotocol.EndErrored), float64(5), uint8(0), uint8(0)))
-			}
-			batches = append(batches, batch(uint32(hop+2), float64(5*(hop+1)), ends...))
+			t.Run(fmt.Sprintf("class %d, instance %d, %s", class, i, file), func(t *testing.T) {
+				checkOutcome(t, all, uint32(i), outcomes[file][class])
+			})
 		}
-		all := actions(t, slices.Concat(batches...))
-		for i, file := range files {
-			w := wants[file][class]
-			sends := only(all, simprotocol.ActCallOut, uint32(i))
-			if len(sends) != w.sends {
-				t.Errorf("%s, class %d: %d sends, want %d", file, class, len(sends), w.sends)
-			}
-			ends := only(all, w.end, uint32(i))
-			if !slices.ContainsFunc(ends, func(a action) bool { return a.rest[0] == 100 }) {
-				t.Errorf("%s, class %d: %v does not end it", file, class, w.end)
-			}
-			if refused := only(all, simprotocol.ActPushBack, uint32(i)); !slices.ContainsFunc(refused, func(a action) bool { return a.rest[0] == 101 }) {
-				t.Errorf("%s: a tenant that there is none of was not refused", file)
-			}
-			if len(sends) > 0 && patience(t, sends[0]) > w.patience {
-				t.Errorf("%s, class %d: an attempt may take %v ms, want %v at most", file, class, patience(t, sends[0]), w.patience)
-			}
+	}
+}
+
+// The requests of failingRequests.
+const (
+	failingRequest       = 100
+	unknownTenantRequest = 101
+)
+
+// failingRequests builds a stream with one instance per settings file. Each gets a request whose attempts all
+// fail, and one of a tenant that its settings do not have.
+func failingRequests(t *testing.T, files []string, class uint8) []byte {
+	t.Helper()
+	const timeoutMS = 40000
+	var first [][]byte
+	for i, file := range files {
+		instance := uint32(i)
+		first = append(first,
+			instanceStarted(instance, 5, settingsLines(t, file)),
+			endpointList(uint16(i), 1, 2, 3, 4), endpointsUpdated(instance, simprotocol.UpdateFull, uint16(i)),
+			request{id: failingRequest, tenant: 1, timeoutMS: timeoutMS, class: class}.arrived(instance),
+			request{id: unknownTenantRequest, tenant: 3, timeoutMS: timeoutMS}.arrived(instance)) // the files have two and three tenants
+	}
+	stream := batch(1, 0, first...)
+	for attempt := range 4 { // outcomes of attempts that were not sent are ignored
+		var ended [][]byte
+		for i := range files {
+			ended = append(ended, attemptEnded(uint32(i), failingRequest, uint8(attempt), 1, simprotocol.ResultServerError, 0))
 		}
+		stream = append(stream, batch(uint32(attempt+2), float64(5*(attempt+1)), ended...)...)
+	}
+	return stream
+}
+
+func checkOutcome(t *testing.T, all []action, instance uint32, want outcome) {
+	t.Helper()
+	sends := actionsOf(all, simprotocol.ActionSend, instance)
+	if len(sends) != want.sends {
+		t.Errorf("%d sends, want %d", len(sends), want.sends)
+	}
+	isOf := func(id byte) func(action) bool { return func(a action) bool { return a.fields[0] == id } }
+	if !slices.ContainsFunc(actionsOf(all, want.answer, instance), isOf(failingRequest)) {
+		t.Errorf("no action %v for the request", want.answer)
+	}
+	if !slices.ContainsFunc(actionsOf(all, simprotocol.ActionReject, instance), isOf(unknownTenantRequest)) {
+		t.Error("a request of an unknown tenant was not rejected")
+	}
+	if len(sends) > 0 && attemptTimeoutMS(t, sends[0]) > want.maxTimeoutMS {
+		t.Errorf("an attempt may take %v ms, want %v at most", attemptTimeoutMS(t, sends[0]), want.maxTimeoutMS)
 	}
 }
 
-// patience is the time-out of an attempt, in milliseconds.
-func patience(t *testing.T, send action) float64 {
+// attemptTimeoutMS decodes the timeout of an ActionSend, in milliseconds.
+func attemptTimeoutMS(t *testing.T, send action) float64 {
 	t.Helper()
-	if len(send.rest) != 18 {
-		t.Fatalf("an attempt of %d bytes", len(send.rest))
+	const timeoutOffset, size = 4 + 6, 4 + 6 + 8 // after the request ID and the address
+	if len(send.fields) != size {
+		t.Fatalf("a send of %d bytes, want %d", len(send.fields), size)
 	}
-	return math.Float64frombits(binary.LittleEndian.Uint64([]byte(send.rest[10:])))
+	return math.Float64frombits(binary.LittleEndian.Uint64([]byte(send.fields[timeoutOffset:])))
 }
--- /dev/null
+++ b/internal/simprotocol/record.go
@@ -0,0 +1,170 @@
+package simprotocol
+
+import (
+	"fmt"
+	"time"
+
+	"cranehatch/internal/loadreport"
+	"cranehatch/policy"
+)
+
+// endpointLen is the size of an endpoint in a list, in bytes.
+const endpointLen = 23
+
+// InstanceStarted is the start of an instance.
+type InstanceStarted struct {
+	Seed     uint64
+	Settings []byte // path=value lines; valid as long as the batch
+}
+
+// GossipReceived is a message of another instance.
+type GossipReceived struct {
+	From int    // index of the sender
+	Data []byte // valid as long as the batch
+}
+
+// AttemptEnded is the outcome of an attempt.
+type AttemptEnded struct {
+	RequestID policy.RequestID
+	Attempt   int // from 0
+	Endpoint  policy.EndpointID
+	Result    policy.Result
+	Duration  time.Duration // of the attempt
+	Answered  bool          // the client has its response, and the request is complete
+	Report    loadreport.Report
+}
+
+// HealthChecked is the result of a health check.
+type HealthChecked struct {
+	Endpoint policy.EndpointID
+	Healthy  bool
+	Report   loadreport.Report
+}
+
+// EndpointsUpdated says which endpoint list applies to an instance.
+type EndpointsUpdated struct {
+	Known   bool // false: of a later protocol version, to be ignored
+	Kind    policy.UpdateKind
+	Version uint32
+	List    uint16 // number of the list in an earlier EventEndpointList; unused where Kind is UpdateFailed
+}
+
+// Instance decodes the number of the instance that a record is for. An EventEndpointList has none.
+func (r Record) Instance() (uint32, error) {
+	c := r.fields()
+	instance := c.uint32()
+	return instance, c.err()
+}
+
+// EndpointList decodes an endpoint list and its number.
+func (r Record) EndpointList() (list uint16, endpoints []policy.Endpoint, err error) {
+	c := r.fields()
+	list = c.uint16()
+	count := c.uint32()
+	if size := uint64(count) * endpointLen; c.truncated || size > uint64(len(c.remaining)) {
+		return 0, nil, &RecordError{Code: r.Code, Part: PartList, Err: fmt.Errorf("%d endpoints: %w", count, truncated(size, len(c.remaining)))}
+	}
+	endpoints = make([]policy.Endpoint, count)
+	for i := range endpoints {
+		endpoints[i] = c.endpoint()
+	}
+	return list, endpoints, c.err()
+}
+
+// endpoint reads one endpoint of a list.
+func (c *cursor) endpoint() policy.Endpoint {
+	var endpoint policy.Endpoint
+	endpoint.ID = c.endpointID()
+	endpoint.Zone = int(c.uint8())
+	c.uint8() // machine type: the policy does not use it
+	endpoint.Cell = int(c.uint16())
+	endpoint.State = endpointStateOf(c.uint8())
+	endpoint.Weight = float64(c.float32())
+	endpoint.StartedAt = c.duration()
+	return endpoint
+}
+
+// InstanceStarted decodes an EventInstanceStarted.
+func (r Record) InstanceStarted() (InstanceStarted, error) {
+	c := r.instanceFields()
+	var event InstanceStarted
+	event.Seed = c.uint64()
+	event.Settings = c.bytes(int(c.uint32()))
+	return event, c.err()
+}
+
+// EndpointsUpdated decodes an EventEndpointsUpdated.
+func (r Record) EndpointsUpdated() (EndpointsUpdated, error) {
+	c := r.instanceFields()
+	var event EndpointsUpdated
+	event.Kind, event.Known = updateKindOf(c.uint8())
+	event.Version = c.uint32()
+	event.List = c.uint16()
+	return event, c.err()
+}
+
+// RequestArrived decodes an EventRequestArrived.
+func (r Record) RequestArrived() (policy.Request, error) {
+	c := r.instanceFields()
+	var request policy.Request
+	request.ID = c.requestID()
+	flags := c.uint16()
+	request.Key = c.uint64()
+	request.Tenant = int(c.uint32())
+	request.Timeout = c.duration()
+	expectedWork := c.duration()
+	request.Class = int(c.uint8())
+	request.ClientRetry = flags&FlagClientRetry != 0
+	if flags&FlagExpectedWork != 0 {
+		request.ExpectedWork = expectedWork
+	}
+	return request, c.err()
+}
+
+// AttemptEnded decodes an EventAttemptEnded.
+func (r Record) AttemptEnded() (AttemptEnded, error) {
+	c := r.instanceFields()
+	var event AttemptEnded
+	event.RequestID = c.requestID()
+	event.Attempt = int(c.uint8())
+	event.Endpoint = c.endpointID()
+	event.Result = resultOf(c.uint16())
+	event.Duration = c.duration()
+	event.Answered = c.bool()
+	event.Report = c.loadReport()
+	return event, c.err()
+}
+
+// HealthChecked decodes an EventHealthChecked.
+func (r Record) HealthChecked() (HealthChecked, error) {
+	c := r.instanceFields()
+	var event HealthChecked
+	event.Endpoint = c.endpointID()
+	event.Healthy = resultOf(c.uint16()) == policy.Succeeded
+	c.duration() // of the health check: the policy does not use it
+	event.Report = c.loadReport()
+	return event, c.err()
+}
+
+// RequestID decodes the request that an EventClientDisconnected or EventStreamStarted is about.
+func (r Record) RequestID() (policy.RequestID, error) {
+	c := r.instanceFields()
+	id := c.requestID()
+	return id, c.err()
+}
+
+// TimerCookie decodes the cookie of an EventTimerFired, as it was passed to Reply.SetTimer.
+func (r Record) TimerCookie() (uint64, error) {
+	c := r.instanceFields()
+	cookie := c.uint64()
+	return cookie, c.err()
+}
+
+// GossipReceived decodes an EventGossipReceived.
+func (r Record) GossipReceived() (GossipReceived, error) {
+	c := r.instanceFields()
+	var event GossipReceived
+	event.From = int(c.uint32())
+	event.Data = c.bytes(int(c.uint16()))
+	return event, c.err()
+}
