--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,10 +1,11 @@
-// Package endpointlist is the form in which discovery tells of the servers of a service, and how it is read.
+// Package endpointlist parses the endpoint lists that service discovery answers with.
+//
+// An answer is a JSON object with names of its own (generation, reset, instances, lifecycle, ...). This
+// package maps them to the terms of package policy, here and nowhere else. Unknown names are ignored.
 package endpointlist
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"hash/fnv"
 	"io"
 	"math"
@@ -14,70 +15,129 @@
 	"cranehatch/policy"
 )
 
-// List is one answer of discovery. The zero value holds no server.
+// unknownZone is the zone of an endpoint whose zone is absent or not configured.
+const unknownZone = -1
+
+// maxStartedAtMS bounds the start time of an endpoint, in milliseconds, far from the overflow of a duration.
+const maxStartedAtMS = math.MaxInt64 / float64(time.Millisecond) / 2
+
+// List is one answer of discovery. The zero value holds no endpoint.
 type List struct {
-	Version int64 // the generation that it brings its reader to
-	Whole   bool  // it names all servers, not only those that changed
-	Servers []policy.Endpoint
-	Address map[policy.EndpointID]string // host and port; a server that is gone may have none
+	Version   int64 // version of the endpoint set after this list is applied
+	Complete  bool  // all endpoints, and not only those that changed
+	Endpoints []policy.Endpoint
+	Addresses map[policy.EndpointID]string // host and port; a removed endpoint may have none
 }
 
-// ServerID names a server by a hash of its instanceId: the same at every sidecar and after a
-// restart, as the module spreads the sidecars over the servers by the order of their ids.
-func ServerID(instance string) policy.EndpointID {
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, instance) // a hash takes everything
-	return policy.EndpointID(h.Sum64())
+// answer is the JSON form of a List.
+type answer struct {
+	Generation *int64  `json:"generation"` // nil: absent
+	Reset      bool    `json:"reset"`
+	Instances  []entry `json:"instances"`
 }
 
-// Parse reads an answer. One malformed entry makes the whole answer unusable.
-func Parse(raw []byte, zones map[string]int) (List, error) {
-	var answer struct {
-		Generation *int64
-		Reset      bool
-		Instances  []struct {
-			InstanceID  string
-			HostPort    string
-			Zone        string
-			Cell        int
-			Lifecycle   string
-			Weight      float64
-			StartedAtMs float64
-		}
+// entry is the JSON form of an endpoint.
+type entry struct {
+	InstanceID  string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS float64 `json:"startedAtMs"`
+}
+
+// EndpointID returns the ID of an endpoint: a hash of its instance ID. It is the same in every sidecar and
+// after a restart, because package policy derives each sidecar's subset from the order of the IDs.
+func EndpointID(instanceID string) policy.EndpointID {
+	hash := fnv.New64a()
+	_, _ = io.WriteString(hash, instanceID) // a hash never returns an error
+	return policy.EndpointID(hash.Sum64())
+}
+
+// Parse parses an answer; zones maps the names of the configured zones to their numbers. One malformed entry
+// makes the answer unusable, since a list without it could seem complete. The error is an *Error.
+func Parse(text []byte, zones map[string]int) (List, error) {
+	var parsed answer
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return List{}, &Error{Entry: NoEntry, Err: err}
 	}
-	if err := json.Unmarshal(raw, &answer); err != nil {
-		return List{}, err
+	if parsed.Generation == nil {
+		return List{}, &Error{Entry: NoEntry, Field: "generation", Err: ErrMissing}
 	}
-	if answer.Generation == nil {
-		return List{}, errors.New("no generation")
+	list := List{
+		Version:   *parsed.Generation,
+		Complete:  parsed.Reset,
+		Addresses: make(map[policy.EndpointID]string),
 	}
-	l := List{Version: *answer.Generation, Whole: answer.Reset, Address: make(map[policy.EndpointID]string)}
-	for i, e := range answer.Instances {
-		if e.InstanceID == "" {
-			return List{}, fmt.Errorf("instance %d has no instanceId", i)
-		}
-		s := policy.Endpoint{ID: ServerID(e.InstanceID), Zone: -1, Cell: e.Cell, Weight: e.Weight}
-		if zone, ok := zones[e.Zone]; ok {
-			s.Zone = zone
+	for i, e := range parsed.Instances {
+		if err := list.add(e, zones); err != nil {
+			err.Entry, err.InstanceID = i, e.InstanceID
+			return List{}, err
 		}
-		if e.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // no time of this clock
-			return List{}, fmt.Errorf("instance %s: startedAtMs is %v", e.InstanceID, e.StartedAtMs)
-		}
-		s.StartedAt = time.Duration(max(0, e.StartedAtMs) * float64(time.Millisecond))
-		switch e.Lifecycle {
-		case "ready":
-			s.State = policy.Ready
-		case "gone":
-			s.State = policy.Removed
-		default:
-			s.State = policy.Draining // nothing new, whatever it is
-		}
-		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
-			l.Address[s.ID] = e.HostPort
-		} else if s.State != policy.Removed {
-			return List{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
-		}
-		l.Servers = append(l.Servers, s)
 	}
-	return l, nil
+	return list, nil
+}
+
+// add appends an endpoint.
+func (l *List) add(e entry, zones map[string]int) *Error {
+	if e.InstanceID == "" {
+		return &Error{Field: "instanceId", Err: ErrMissing}
+	}
+	startedAt, err := e.startedAt()
+	if err != nil {
+		return err
+	}
+	endpoint := policy.Endpoint{
+		ID:        EndpointID(e.InstanceID),
+		Zone:      e.zone(zones),
+		Cell:      e.Cell,
+		State:     e.state(),
+		Weight:    e.Weight,
+		StartedAt: startedAt,
+	}
+	if err := l.addAddress(endpoint, e.HostPort); err != nil {
+		return err
+	}
+	l.Endpoints = append(l.Endpoints, endpoint)
+	return nil
+}
+
+// addAddress stores the address of an endpoint. Only a removed endpoint may have none that is valid.
+func (l *List) addAddress(endpoint policy.Endpoint, hostPort string) *Error {
+	_, _, err := net.SplitHostPort(hostPort)
+	if err == nil {
+		l.Addresses[endpoint.ID] = hostPort
+		return nil
+	}
+	if endpoint.State == policy.Removed {
+		return nil
+	}
+	return &Error{Field: "hostPort", Err: err}
+}
+
+func (e entry) zone(zones map[string]int) int {
+	if zone, ok := zones[e.Zone]; ok {
+		return zone
+	}
+	return unknownZone
+}
+
+// startedAt returns the time of the last start; a negative time is 0, which means long ago.
+func (e entry) startedAt() (time.Duration, *Error) {
+	if e.StartedAtMS > maxStartedAtMS {
+		return 0, &Error{Field: "startedAtMs", Err: ErrOutOfRange}
+	}
+	return time.Duration(max(0, e.StartedAtMS) * float64(time.Millisecond)), nil
+}
+
+// state maps the lifecycle. An unknown one is mapped to Draining, which takes no new requests.
+func (e entry) state() policy.EndpointState {
+	switch e.Lifecycle {
+	case "ready":
+		return policy.Ready
+	case "gone":
+		return policy.Removed
+	}
+	return policy.Draining
 }
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -1,6 +1,10 @@
 package endpointlist
 
 import (
+	"encoding/json"
+	"errors"
+	"net"
+	"slices"
 	"testing"
 	"time"
 
@@ -8,37 +12,91 @@
 )
 
 func TestParse(t *testing.T) {
-	l, err := Parse([]byte(`{"generation":41,"reset":false,"further":1,"instances":[
+	list, err := Parse([]byte(`{"generation":41,"reset":false,"further":1,"instances":[
 		{"instanceId":"s-1","hostPort":"127.0.0.1:80","zone":"b","machineType":"m2","cell":3,"lifecycle":"ready","weight":1.5,"startedAtMs":1500.5},
-		{"instanceId":"s-2","hostPort":"127.0.0.1:81","zone":"unheard of","lifecycle":"draining"},
-		{"instanceId":"s-3","hostPort":"127.0.0.1:82","lifecycle":"pausing"},
+		{"instanceId":"s-2","hostPort":"127.0.0.1:81","zone":"not configured","lifecycle":"draining"},
+		{"instanceId":"s-3","hostPort":"127.0.0.1:82","lifecycle":"pausing","startedAtMs":-5},
 		{"instanceId":"s-4","lifecycle":"gone"}]}`), map[string]int{"a": 0, "b": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []policy.Endpoint{
-		{ID: ServerID("s-1"), Zone: 1, Cell: 3, State: policy.Ready, Weight: 1.5, StartedAt: 1500500 * time.Microsecond},
-		{ID: ServerID("s-2"), Zone: -1, State: policy.Draining},
-		{ID: ServerID("s-3"), Zone: -1, State: policy.Draining},
-		{ID: ServerID("s-4"), Zone: -1, State: policy.Removed},
-	}
-	if l.Version != 41 || l.Whole || len(l.Servers) != len(want) || l.Address[want[1].ID] != "127.0.0.1:81" {
-		t.Fatalf("list %+v", l)
-	}
-	for i := range want {
-		if l.Servers[i] != want[i] {
-			t.Errorf("server %+v, want %+v", l.Servers[i], want[i])
-		}
-	}
-	for _, bad := range []string{
-		"", "{", "[]", `{"instances":[]}`, `{"generation":"x"}`,
-		`{"generation":1,"instances":[{"hostPort":"127.0.0.1:80","lifecycle":"ready"}]}`,
-		`{"generation":1,"instances":[{"instanceId":"s","hostPort":"nowhere","lifecycle":"ready"}]}`,
-		`{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:80","weight":"heavy"}]}`,
-		`{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:80","startedAtMs":1e300}]}`,
+		{ID: EndpointID("s-1"), Zone: 1, Cell: 3, State: policy.Ready, Weight: 1.5, StartedAt: 1500500 * time.Microsecond},
+		{ID: EndpointID("s-2"), Zone: -1, State: policy.Draining},
+		{ID: EndpointID("s-3"), Zone: -1, State: policy.Draining},
+		{ID: EndpointID("s-4"), Zone: -1, State: policy.Removed},
+	}
+	if !slices.Equal(list.Endpoints, want) {
+		t.Errorf("endpoints %+v, want %+v", list.Endpoints, want)
+	}
+	if list.Version != 41 || list.Complete || len(list.Addresses) != 3 || list.Addresses[want[1].ID] != "127.0.0.1:81" {
+		t.Errorf("list %+v", list)
+	}
+}
+
+func TestParseCompleteList(t *testing.T) {
+	list, err := Parse([]byte(`{"generation":0,"reset":true}`), nil)
+	if err != nil || !list.Complete || list.Version != 0 || len(list.Endpoints) != 0 {
+		t.Errorf("list %+v, error %v", list, err)
+	}
+}
+
+// The ID of an endpoint must not change, as it decides which sidecars send to it.
+func TestEndpointID(t *testing.T) {
+	if got, want := EndpointID("s-1"), policy.EndpointID(0x817cda195c3fbf24); got != want {
+		t.Errorf("ID %#x, want %#x", uint64(got), uint64(want))
+	}
+}
+
+func TestParseMalformed(t *testing.T) {
+	for _, test := range []struct {
+		name, text string
+		entry      int
+		field      string
+		err        error // nil: any
+	}{
+		{"empty", "", NoEntry, "", nil},
+		{"truncated", "{", NoEntry, "", nil},
+		{"no object", "[]", NoEntry, "", nil},
+		{"no generation", `{"instances":[]}`, NoEntry, "generation", ErrMissing},
+		{"generation is text", `{"generation":"x"}`, NoEntry, "", nil},
+		{"no instance ID", `{"generation":1,"instances":[{"hostPort":"127.0.0.1:80","lifecycle":"ready"}]}`, 0, "instanceId", ErrMissing},
+		{"no port", `{"generation":1,"instances":[{"instanceId":"r","lifecycle":"gone"},{"instanceId":"s","hostPort":"nowhere","lifecycle":"ready"}]}`, 1, "hostPort", nil},
+		{"weight is text", `{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:80","weight":"heavy"}]}`, NoEntry, "", nil},
+		{"start out of range", `{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:80","startedAtMs":1e300}]}`, 0, "startedAtMs", ErrOutOfRange},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			list, err := Parse([]byte(test.text), nil)
+			var parseError *Error
+			if !errors.As(err, &parseError) || parseError.Entry != test.entry || parseError.Field != test.field {
+				t.Fatalf("list %+v, error %#v, want an Error of entry %d, field %q", list, err, test.entry, test.field)
+			}
+			if test.err != nil && !errors.Is(err, test.err) {
+				t.Errorf("error %v, want %v", err, test.err)
+			}
+		})
+	}
+}
+
+func TestErrorMessage(t *testing.T) {
+	_, syntaxError := Parse([]byte("{x"), nil)
+	var syntax *json.SyntaxError
+	if !errors.As(syntaxError, &syntax) {
+		t.Errorf("error %v does not wrap a json.SyntaxError", syntaxError)
+	}
+	_, addressError := Parse([]byte(`{"generation":1,"instances":[{"instanceId":"s","hostPort":"nowhere"}]}`), nil)
+	var address *net.AddrError
+	if !errors.As(addressError, &address) || addressError.Error() != "instance s: hostPort: "+address.Error() {
+		t.Errorf("error %v, want the instance, the field and a net.AddrError", addressError)
+	}
+	for want, err := range map[string]error{
+		"generation: missing":             &Error{Entry: NoEntry, Field: "generation", Err: ErrMissing},
+		"instance 2: instanceId: missing": &Error{Entry: 2, Field: "instanceId", Err: ErrMissing},
 	} {
-		if _, err := Parse([]byte(bad), nil); err == nil {
-			t.Errorf("%q was taken", bad)
-		}
+		t.Run(want, func(t *testing.T) {
+			if err.Error() != want {
+				t.Errorf("message %q", err)
+			}
+		})
 	}
 }
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.first = list.Servers
+	g.first = list.Endpoints
 	g.adopt(t)
 	g.first = nil // sidecars that start again hold no list
 	return g
--- a/internal/fleetsim/service.go
+++ b/internal/fleetsim/service.go
@@ -107,7 +107,7 @@
 	}
 	for i := range cfg.Servers {
 		m := &server{f: f, name: fmt.Sprintf("s-%05d", i), zone: (cfg.Offset + i) % cfg.Zones}
-		m.id = endpointlist.ServerID(m.name)
+		m.id = endpointlist.EndpointID(m.name)
 		if cfg.ID != nil {
 			m.id = cfg.ID(i)
 		}
@@ -122,8 +122,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: the first list: %w", err)
 	}
-	for i := range list.Servers { // the first list names them in their order
-		list.Servers[i].ID = f.servers[i].id
+	for i := range list.Endpoints { // the first list names them in their order
+		list.Endpoints[i].ID = f.servers[i].id
 	}
 	sum := 0.0
 	for i := range cfg.Sidecars {
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -85,7 +85,7 @@
 		if f.discovery == nil {
 			kind = policy.FullUpdate
 		}
-		s.b.UpdateEndpoints(f.clock.now, kind, known.Servers)
+		s.b.UpdateEndpoints(f.clock.now, kind, known.Endpoints)
 	}
 	s.arrive()
 	return nil
@@ -450,7 +450,7 @@
 	switch {
 	case failure != "":
 		err = errors.New(failure)
-	case err != nil || !l.Whole && index >= 0 && l.Version < s.version:
+	case err != nil || !l.Complete && index >= 0 && l.Version < s.version:
 		s.version = -1
 		err = fmt.Errorf("the list is unusable: %w", err)
 	}
@@ -458,16 +458,16 @@
 		s.failed()
 		return
 	}
-	f.count.Lines += int64(len(l.Servers))
+	f.count.Lines += int64(len(l.Endpoints))
 	f.mark(20, uint64(s.index), uint64(l.Version))
 	kind := policy.DeltaUpdate
-	if l.Whole || index < 0 {
+	if l.Complete || index < 0 {
 		kind = policy.FullUpdate
 	}
 	s.written(&l, kind)
 	s.heard, s.silent, s.version = true, false, l.Version
 	from = s.measured()
-	s.b.UpdateEndpoints(f.clock.now, kind, l.Servers)
+	s.b.UpdateEndpoints(f.clock.now, kind, l.Endpoints)
 	s.control(from)
 	s.next()
 }
@@ -475,7 +475,7 @@
 // written notes which servers the sidecar has now been told of that leave.
 func (s *sidecar) written(l *endpointlist.List, kind policy.UpdateKind) {
 	named := make(map[policy.EndpointID]bool)
-	for _, e := range l.Servers {
+	for _, e := range l.Endpoints {
 		named[e.ID] = true
 		if e.State == policy.Ready {
 			delete(s.leaving, e.ID)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -49,7 +49,7 @@
 // parseListing reads an answer. One malformed entry makes the whole answer unusable.
 func parseListing(raw []byte, zones map[string]int) (listing, error) {
 	l, err := hosts.Parse(raw, zones)
-	return listing{version: l.Version, whole: l.Whole, servers: l.Servers, address: l.Address}, err
+	return listing{version: l.Version, whole: l.Complete, servers: l.Endpoints, address: l.Addresses}, err
 }
 
 // discovery follows the list of servers and hands what it learns to the loop.
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -243,4 +243,4 @@
 }
 
 // serverID names a server by its instanceId.
-func serverID(instance string) policy.EndpointID { return hosts.ServerID(instance) }
+func serverID(instance string) policy.EndpointID { return hosts.EndpointID(instance) }
