--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip is the form in which sidecars tell one another news: one datagram each, of one size.
+// Package gossip is the codec of the messages that sidecars send each other: one datagram of fixed size each.
 package gossip
 
 import (
@@ -10,41 +10,58 @@
 	"cranehatch/policy"
 )
 
-// Most is the longest datagram that may pass between sidecars.
-const Most = 256
+// MaxDatagram is the maximum size of a datagram between sidecars, in bytes.
+const MaxDatagram = 256
 
-// A datagram is the mark, then, little-endian, the time in microseconds as an int64 and three float32:
-// rate, answers, crowd. The mark names the form: another form, or a sender of another kind, has another.
+// Layout of a datagram: the magic number, then, little-endian, the time in microseconds as an int64, and
+// request rate, responses and congestion as a float32 each. Offsets and sizes are in bytes.
 const (
-	mark = "chn1"
-	size = len(mark) + 8 + 3*4
+	magic        = "chn1" // identifies the format and its version
+	sentAtOffset = len(magic)
+	valuesOffset = sentAtOffset + 8
+	valueSize    = 4
+	valueCount   = 3
+	datagramSize = valuesOffset + valueCount*valueSize
 )
 
-// ErrForm is what Decode returns for anything that Encode did not make.
-var ErrForm = errors.New("no news in the form of this version")
+// maxSentAt is the maximum time of a message, in microseconds, far from the overflow of a duration.
+const maxSentAt = math.MaxInt64 / int64(time.Microsecond) / 2
 
-// Encode puts news into a datagram.
-func Encode(n policy.GossipMessage) []byte {
-	out := append(make([]byte, 0, size), mark...)
-	out = binary.LittleEndian.AppendUint64(out, uint64(n.SentAt.Microseconds()))
-	for _, f := range []float64{n.RequestRate, n.Responses, n.Congestion} {
-		out = binary.LittleEndian.AppendUint32(out, math.Float32bits(float32(f)))
+// ErrMalformed is the error of Decode for a datagram of another size, format or version, or with a time that
+// is out of range.
+var ErrMalformed = errors.New("malformed gossip message")
+
+// Encode returns a message as a datagram. The time is truncated to microseconds, the values are rounded to
+// float32.
+func Encode(message policy.GossipMessage) []byte {
+	datagram := append(make([]byte, 0, datagramSize), magic...)
+	datagram = binary.LittleEndian.AppendUint64(datagram, uint64(message.SentAt.Microseconds()))
+	for _, value := range [valueCount]float64{message.RequestRate, message.Responses, message.Congestion} {
+		datagram = binary.LittleEndian.AppendUint32(datagram, math.Float32bits(float32(value)))
 	}
-	return out
+	return datagram
 }
 
-// Decode reads a datagram. Whether its figures can be is for those to judge who use them, but times that
-// no clock tells are no news.
-func Decode(raw []byte) (policy.GossipMessage, error) {
-	if len(raw) != size || string(raw[:len(mark)]) != mark {
-		return policy.GossipMessage{}, ErrForm
-	}
-	at := int64(binary.LittleEndian.Uint64(raw[len(mark):]))
-	if at < 0 || at > math.MaxInt64/int64(time.Microsecond)/2 {
-		return policy.GossipMessage{}, ErrForm
+// Decode decodes a datagram, or returns ErrMalformed. The values may be negative or NaN: package policy
+// checks whether they are plausible.
+func Decode(datagram []byte) (policy.GossipMessage, error) {
+	if len(datagram) != datagramSize || string(datagram[:len(magic)]) != magic {
+		return policy.GossipMessage{}, ErrMalformed
 	}
-	figure := func(i int) float64 {
-		return float64(math.Float32frombits(binary.LittleEndian.Uint32(raw[len(mark)+8+4*i:])))
+	sentAt := int64(binary.LittleEndian.Uint64(datagram[sentAtOffset:]))
+	if sentAt < 0 || sentAt > maxSentAt {
+		return policy.GossipMessage{}, ErrMalformed
 	}
-	return policy.GossipMessage{SentAt: time.Duration(at) * time.Microsecond, RequestRate: figure(0), Responses: figure(1), Congestion: figure(2)}, nil
+	return policy.GossipMessage{
+		SentAt:      time.Duration(sentAt) * time.Microsecond,
+		RequestRate: valueAt(datagram, 0),
+		Responses:   valueAt(datagram, 1),
+		Congestion:  valueAt(datagram, 2),
+	}, nil
+}
+
+// valueAt returns the value at an index from 0.
+func valueAt(datagram []byte, index int) float64 {
+	bits := binary.LittleEndian.Uint32(datagram[valuesOffset+valueSize*index:])
+	return float64(math.Float32frombits(bits))
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"encoding/hex"
 	"errors"
 	"math"
 	"testing"
@@ -9,48 +10,63 @@
 	"cranehatch/policy"
 )
 
-func TestNewsComesThrough(t *testing.T) {
-	n := policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125}
-	raw := Encode(n)
-	if len(raw) > Most {
-		t.Fatalf("%d bytes, at most %d", len(raw), Most)
+func TestRoundTrip(t *testing.T) {
+	message := policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125}
+	datagram := Encode(message)
+	if len(datagram) > MaxDatagram {
+		t.Fatalf("%d bytes, at most %d", len(datagram), MaxDatagram)
 	}
-	got, err := Decode(raw)
-	if err != nil || got != n {
-		t.Fatalf("%+v, %v; want %+v", got, err, n)
+	got, err := Decode(datagram)
+	if err != nil || got != message {
+		t.Fatalf("%+v, %v; want %+v", got, err, message)
 	}
 }
 
-func TestWhatIsNoNewsIsAnError(t *testing.T) {
-	good := Encode(policy.GossipMessage{SentAt: time.Second})
-	for name, raw := range map[string][]byte{
-		"nothing":      nil,
-		"cut off":      good[:len(good)-1],
-		"too long":     append(append([]byte{}, good...), 0),
-		"another form": append([]byte("chn2"), good[4:]...),
-		"no time":      append([]byte("chn1\xff\xff\xff\xff\xff\xff\xff\xff"), good[12:]...),
+// Sidecars of different builds run side by side, so the bytes of a version must not change.
+func TestWireFormat(t *testing.T) {
+	datagram := Encode(policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125})
+	const want = "63686e31" + "15cd5b0700000000" + "00009441" + "00002042" + "0000003e"
+	if got := hex.EncodeToString(datagram); got != want {
+		t.Errorf("datagram %s, want %s", got, want)
+	}
+}
+
+func TestDecodeMalformed(t *testing.T) {
+	valid := Encode(policy.GossipMessage{SentAt: time.Second})
+	for _, test := range []struct {
+		name     string
+		datagram []byte
+	}{
+		{"empty", nil},
+		{"truncated", valid[:len(valid)-1]},
+		{"too long", append(append([]byte{}, valid...), 0)},
+		{"another version", append([]byte("chn2"), valid[4:]...)},
+		{"negative time", append([]byte("chn1\xff\xff\xff\xff\xff\xff\xff\xff"), valid[12:]...)},
+		{"time out of range", append([]byte("chn1\xff\xff\xff\xff\xff\xff\xff\x7f"), valid[12:]...)},
 	} {
-		if _, err := Decode(raw); !errors.Is(err, ErrForm) {
-			t.Errorf("%s: %v, want %v", name, err, ErrForm)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := Decode(test.datagram); !errors.Is(err, ErrMalformed) {
+				t.Errorf("error %v, want %v", err, ErrMalformed)
+			}
+		})
 	}
 }
 
-// Whatever comes, Decode ends with an error or with news that has the same form again.
+// Decode returns an error for any datagram, or a message that Encode and Decode reproduce.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(policy.GossipMessage{SentAt: time.Hour, RequestRate: 1, Responses: 2, Congestion: 3}))
 	f.Add([]byte("chn1"))
 	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, raw []byte) {
-		n, err := Decode(raw)
+	f.Fuzz(func(t *testing.T, datagram []byte) {
+		message, err := Decode(datagram)
 		if err != nil {
 			return
 		}
-		again, err := Decode(Encode(n))
+		reproduced, err := Decode(Encode(message))
 		same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
-		if err != nil || again.SentAt != n.SentAt || !same(again.RequestRate, n.RequestRate) || !same(again.Responses, n.Responses) ||
-			!same(again.Congestion, n.Congestion) {
-			t.Errorf("%+v became %+v, %v", n, again, err)
+		if err != nil || reproduced.SentAt != message.SentAt || !same(reproduced.RequestRate, message.RequestRate) ||
+			!same(reproduced.Responses, message.Responses) || !same(reproduced.Congestion, message.Congestion) {
+			t.Errorf("%+v became %+v, %v", message, reproduced, err)
 		}
 	})
 }
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -43,7 +43,7 @@
 	}
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	go p.send(ctx)
-	buf := make([]byte, gossip.Most+1) // a longer one shows in a byte too many
+	buf := make([]byte, gossip.MaxDatagram+1) // a longer one shows in a byte too many
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		switch {
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	n, err := all.Read(buf)
-	if err != nil || n > gossip.Most {
+	if err != nil || n > gossip.MaxDatagram {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	if got, err := gossip.Decode(buf[:n]); err != nil || got != want {
--- a/internal/sidecarbench/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -273,7 +273,7 @@
 		return nil, err
 	}
 	go func() {
-		buf := make([]byte, gossip.Most+1)
+		buf := make([]byte, gossip.MaxDatagram+1)
 		for {
 			n, err := all.Read(buf)
 			if err != nil {
