--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// handleRecord handles one event: of the whole process, of the start and stop of an instance, or of a
-// running instance. Events of later protocol versions are ignored.
+// handleRecord handles one event: an endpoint list, the start or stop of an instance, or an event of a running
+// instance. Unknown events, of later protocol versions, are ignored.
 func (a *adapter) handleRecord(now time.Duration, record simprotocol.Record) error {
 	switch record.Code {
 	case simprotocol.EventEndpointList:
