--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -152,21 +152,21 @@
 	started := s.startCPU()
 	list, err := endpointlist.Parse(response.body, sim.zones)
 	s.chargeControl(started)
-	if err != nil || !list.Whole && since >= 0 && list.Version < c.version {
+	if err != nil || !list.Complete && since >= 0 && list.Version < c.version {
 		c.version = noVersion
 		c.fail()
 		return
 	}
-	sim.counts.EntriesRead += int64(len(list.Servers))
+	sim.counts.EntriesRead += int64(len(list.Endpoints))
 	sim.addToDigest(digestList, s.index, uint64(list.Version))
 	kind := policy.DeltaUpdate
-	if list.Whole || since < 0 {
+	if list.Complete || since < 0 {
 		kind = policy.FullUpdate
 	}
-	s.recordDrainNotices(list.Servers, kind)
+	s.recordDrainNotices(list.Endpoints, kind)
 	c.synced, c.watchTimedOut, c.version = true, false, list.Version
 	started = s.startCPU()
-	s.balancer.UpdateEndpoints(sim.clock.now, kind, list.Servers)
+	s.balancer.UpdateEndpoints(sim.clock.now, kind, list.Endpoints)
 	s.chargeControl(started)
 	c.call()
 }
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.initialList = list.Servers
+	g.initialList = list.Endpoints
 	g.adoptAll(t)
 	g.initialList = nil // sidecars that restart have no list
 	return g
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -66,7 +66,7 @@
 		if s.sim.discovery == nil {
 			kind = policy.FullUpdate
 		}
-		s.balancer.UpdateEndpoints(s.sim.clock.now, kind, list.Servers)
+		s.balancer.UpdateEndpoints(s.sim.clock.now, kind, list.Endpoints)
 	}
 	s.scheduleClientCall()
 	return nil
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -90,7 +90,7 @@
 func (sim *Simulation) addServers() {
 	for i := range sim.config.Servers {
 		server := &simServer{sim: sim, name: fmt.Sprintf("s-%05d", i), zone: (sim.config.FirstZone + i) % sim.config.Zones}
-		server.id = endpointlist.ServerID(server.name)
+		server.id = endpointlist.EndpointID(server.name)
 		if sim.config.EndpointID != nil {
 			server.id = sim.config.EndpointID(i)
 		}
@@ -109,8 +109,8 @@
 	if err != nil {
 		return endpointlist.List{}, err
 	}
-	for i := range list.Servers { // the initial list is in the order of the servers
-		list.Servers[i].ID = sim.servers[i].id
+	for i := range list.Endpoints { // the initial list is in the order of the servers
+		list.Endpoints[i].ID = sim.servers[i].id
 	}
 	return list, nil
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -12,7 +12,8 @@
 	"time"
 
 	"cranehatch/internal/endpointlist"
-	"cranehatch/internal/simprotocol"
+	"cranehatch/internal/loadreport"
+	"cranehatch/internal/settings"
 	"cranehatch/policy"
 )
 
@@ -33,15 +34,14 @@
 	MaxDescriptors int // file descriptors that the process may hold
 
 	Policy          policy.Config
-	Classes         map[string]int      // class index by name
-	Tenants         map[string]int      // tenant index by name; empty where there are none
-	Zones           map[string]int      // zone index by name
-	ReportFields    []string            // names of a load report's fields, in the order of ReportFormat
-	ReportFormat    simprotocol.Columns // what each field of a load report means
-	MaxInFlight     int                 // requests open at once; 0: no limit
-	MaxDeadline     time.Duration       // the longest deadline of any class
-	DialTimeout     time.Duration       // for a connection to a server, and for a health check
-	CachedEndpoints endpointlist.List   // as last known, maybe old; used until discovery responds
+	Classes         map[string]int    // class index by name
+	Tenants         map[string]int    // tenant index by name; empty where there are none
+	Zones           map[string]int    // zone index by name
+	ReportFormat    loadreport.Format // of the servers' load reports
+	MaxInFlight     int               // requests open at once; 0: no limit
+	MaxDeadline     time.Duration     // the longest deadline of any class
+	DialTimeout     time.Duration     // for a connection to a server, and for a health check
+	CachedEndpoints endpointlist.List // as last known, maybe old; used until discovery responds
 
 	// ServerIdleTimeout is after how long servers close an idle connection; the transport closes it a little before.
 	ServerIdleTimeout time.Duration
@@ -115,22 +115,22 @@
 }
 
 // applySettings reads the settings: those of the policy, and what the sidecar needs besides. The settings' names are
-// mapped to the policy's terms where they are read, in Settings.Config.
+// mapped to the policy's terms where they are read, in Settings.PolicyConfig.
 func (c *Config) applySettings(file *configFile) error {
 	if len(file.Settings) == 0 {
 		return &ConfigError{Field: "settings", Err: errMissing}
 	}
-	s, err := simprotocol.SettingsFromJSON(file.Settings)
+	s, err := settings.ParseJSON(file.Settings)
 	if err != nil {
 		return &ConfigError{Err: err}
 	}
-	if c.Policy, err = s.Config(); err != nil {
+	if c.Policy, err = s.PolicyConfig(); err != nil {
 		return &ConfigError{Err: err}
 	}
 	c.Classes = indexByName(settingNames(s, "classes"))
 	c.Tenants = indexByName(settingNames(s, "orgs"))
 	c.Zones = indexByName(strings.Split(s.Text("zones"), ","))
-	c.ReportFields, c.ReportFormat = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
+	c.ReportFormat = s.ReportFormat()
 	c.MaxInFlight = int(s.Number("caps.max_open"))
 	c.ServerIdleTimeout = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
@@ -163,7 +163,7 @@
 }
 
 // settingNames returns the names of a list of objects in the settings.
-func settingNames(s *simprotocol.Settings, list string) []string {
+func settingNames(s *settings.Settings, list string) []string {
 	names := make([]string, s.Count(list+".count"))
 	for i := range names {
 		names[i] = s.Text(fmt.Sprintf("%s.%d.name", list, i))
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -42,8 +42,8 @@
 		if strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "config: known: ") {
 			t.Errorf("%s: log %q, want one line that names it", known, &log)
 		}
-		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.Servers) > 0 || d.version >= 0 {
-			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.Servers), d.version)
+		if d := newDiscoveryClient(c, nil, nil); len(c.CachedEndpoints.Endpoints) > 0 || d.version >= 0 {
+			t.Errorf("%s: %d servers taken, and changes asked for since version %d", known, len(c.CachedEndpoints.Endpoints), d.version)
 		}
 	}
 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -98,7 +98,7 @@
 	} else {
 		d.callInterval = min(d.callInterval, 2*d.maxBackoff)
 	}
-	if len(cfg.CachedEndpoints.Servers) > 0 {
+	if len(cfg.CachedEndpoints.Endpoints) > 0 {
 		d.version = cfg.CachedEndpoints.Version
 	}
 	return d
--- a/internal/sidecar/discovery_follow.go
+++ b/internal/sidecar/discovery_follow.go
@@ -76,14 +76,14 @@
 	if errors.Is(err, errInvalidResponse) {
 		d.version = noVersion
 	}
-	update.Whole = update.Whole || query.full()
+	update.Complete = update.Complete || query.full()
 	return update, err
 }
 
 // checkVersion rejects changes whose version is older than the one asked for: discovery has started anew and counts
 // from the beginning, so its versions mean something else now.
 func checkVersion(update endpointlist.List, query listQuery) error {
-	if update.Whole || query.full() || update.Version >= query.since {
+	if update.Complete || query.full() || update.Version >= query.since {
 		return nil
 	}
 	return fmt.Errorf("%w: its version went from %d to %d", errInvalidResponse, query.since, update.Version)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -56,8 +56,8 @@
 	}
 	news := func(version int64, whole bool) {
 		t.Helper()
-		if l := wait(t, "a list", heard); l.Version != version || l.Whole != whole {
-			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Whole, version, whole)
+		if l := wait(t, "a list", heard); l.Version != version || l.Complete != whole {
+			t.Fatalf("version %d, whole %v, want %d, %v", l.Version, l.Complete, version, whole)
 		}
 	}
 	step("", say(listed(41, "ready", "127.0.0.1:80")))
@@ -124,8 +124,8 @@
 			t.Fatalf("call %d: %q, want %q", n, got, step.query)
 		}
 		if step.told {
-			if l := wait(t, "a list", heard); l.Whole != step.whole {
-				t.Fatalf("call %d: whole %v, want %v", n, l.Whole, step.whole)
+			if l := wait(t, "a list", heard); l.Complete != step.whole {
+				t.Fatalf("call %d: whole %v, want %v", n, l.Complete, step.whole)
 			}
 		}
 	}
@@ -171,10 +171,10 @@
 			t.Fatalf("called %q, want %q", got, want)
 		}
 	}
-	if l := wait(t, "the list", heard); l.Servers[0].State != policy.Ready {
+	if l := wait(t, "the list", heard); l.Endpoints[0].State != policy.Ready {
 		t.Errorf("first %+v", l)
 	}
-	if l := wait(t, "the news", heard); l.Servers[0].State != policy.Draining {
+	if l := wait(t, "the news", heard); l.Endpoints[0].State != policy.Draining {
 		t.Errorf("after the silence %+v", l)
 	}
 	cancel()
@@ -327,8 +327,8 @@
 	expect("3 ")
 	expect("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if l := wait(t, "a list", heard); !l.Whole || l.Version != version {
-			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Whole, version)
+		if l := wait(t, "a list", heard); !l.Complete || l.Version != version {
+			t.Errorf("version %d, whole %v, want %d as a whole", l.Version, l.Complete, version)
 		}
 	}
 }
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -11,7 +11,7 @@
 // endpointsChanged takes an endpoint update from the discovery client, on its goroutine. It blocks as post does.
 func (l *eventLoop) endpointsChanged(update endpointlist.List) {
 	kind := policy.DeltaUpdate
-	if update.Whole {
+	if update.Complete {
 		kind = policy.FullUpdate
 	}
 	l.post(func(time.Duration) { l.applyEndpoints(update, kind) })
@@ -29,11 +29,11 @@
 // a removed one, get an object of their own, so that no connection of the old one carries requests to the new one.
 func (l *eventLoop) applyEndpoints(update endpointlist.List, kind policy.UpdateKind) {
 	before := maps.Clone(l.endpoints)
-	if update.Whole {
+	if update.Complete {
 		clear(l.endpoints)
 	}
-	for _, entry := range update.Servers {
-		l.applyEndpoint(entry, update.Address[entry.ID], before[entry.ID])
+	for _, entry := range update.Endpoints {
+		l.applyEndpoint(entry, update.Addresses[entry.ID], before[entry.ID])
 	}
 	for id, e := range before {
 		if l.endpoints[id] != e {
@@ -41,7 +41,7 @@
 			l.transport.remove(e)
 		}
 	}
-	l.balancer.UpdateEndpoints(l.now, kind, update.Servers)
+	l.balancer.UpdateEndpoints(l.now, kind, update.Endpoints)
 }
 
 // applyEndpoint enters one entry of an update; before is the endpoint of that id so far, or nil.
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -88,8 +88,8 @@
 	old := l.endpoints[serverID("s-0")]
 	attempt(t, l.transport, old, "1", generous)
 	l.applyEndpoints(endpointlist.List{
-		Servers: []policy.Endpoint{{ID: 7, State: policy.Ready}},
-		Address: map[policy.EndpointID]string{7: s.address},
+		Endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}},
+		Addresses: map[policy.EndpointID]string{7: s.address},
 	}, policy.DeltaUpdate)
 	attempt(t, l.transport, l.endpoints[7], "2", generous)
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn == second.conn {
@@ -114,12 +114,12 @@
 	if len(l.endpoints) != 1 {
 		t.Errorf("endpoints %v after no change", l.endpoints)
 	}
-	l.applyEndpoints(endpointlist.List{Servers: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
+	l.applyEndpoints(endpointlist.List{Endpoints: []policy.Endpoint{{ID: id, State: policy.Removed}}}, policy.DeltaUpdate)
 	if len(l.endpoints) != 0 {
 		t.Errorf("endpoints %v, the server is gone", l.endpoints)
 	}
 	l.applyEndpoints(moved, policy.DeltaUpdate)
-	l.applyEndpoints(endpointlist.List{Whole: true}, policy.FullUpdate)
+	l.applyEndpoints(endpointlist.List{Complete: true}, policy.FullUpdate)
 	if len(l.endpoints) != 0 {
 		t.Errorf("endpoints %v after a full list of none", l.endpoints)
 	}
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -94,7 +94,7 @@
 func (l *eventLoop) start(cached endpointlist.List) {
 	l.now = l.clock.now()
 	l.balancer.Start(l.now)
-	cached.Whole = true
+	cached.Complete = true
 	l.applyEndpoints(cached, policy.CachedUpdate)
 }
 
--- a/internal/sidecar/gossip.go
+++ b/internal/sidecar/gossip.go
@@ -63,7 +63,7 @@
 
 // receiveAll reads datagrams until the socket returns an error.
 func (g *gossipTransport) receiveAll(handle func(from int, message policy.GossipMessage)) error {
-	buf := make([]byte, gossip.Most+1) // one byte more: a datagram that is too long must not look like a valid one
+	buf := make([]byte, gossip.MaxDatagram+1) // one byte more: a datagram that is too long must not look like a valid one
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -41,7 +41,7 @@
 	}
 	buf := make([]byte, 1000)
 	n, err := conn.Read(buf)
-	if err != nil || n > gossip.Most {
+	if err != nil || n > gossip.MaxDatagram {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	if got, err := gossip.Decode(buf[:n]); err != nil || got != testGossip {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "cached_endpoints", len(cfg.CachedEndpoints.Servers))
+	slog.Info("serving", "name", cfg.Name, "listen", listener.Addr(), "cached_endpoints", len(cfg.CachedEndpoints.Endpoints))
 	running, stop := context.WithCancel(context.Background()) // not ctx, which ends before the drain
 	defer stop()
 	s.start(running)
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"cranehatch/internal/simprotocol"
+	"cranehatch/internal/loadreport"
 	"cranehatch/policy"
 )
 
@@ -23,8 +23,7 @@
 	*connPool    // its lock also guards unwritten
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
 	dialTimeout  time.Duration
-	reportFields []string
-	columns      simprotocol.Columns
+	reportFormat loadreport.Format
 	healthPath   string
 
 	unwritten map[*exchange]*endpoint // attempts of which nothing is written yet, by the server they go to
@@ -35,7 +34,7 @@
 		connPool: newConnPool(cfg, c),
 		// Without TCP keep-alive: a server that went silent is found by the timeouts, which are much shorter.
 		dial:        (&net.Dialer{KeepAlive: -1}).DialContext,
-		dialTimeout: cfg.DialTimeout, reportFields: cfg.ReportFields, columns: cfg.ReportFormat,
+		dialTimeout: cfg.DialTimeout, reportFormat: cfg.ReportFormat,
 		healthPath: livenessPath,
 		unwritten:  make(map[*exchange]*endpoint),
 	}
@@ -82,7 +81,7 @@
 func (t *transport) resultOf(res *serverResponse) attemptResult {
 	result := attemptResult{
 		outcome: classifyResponse(res),
-		report:  t.parseReport(res.Header.Get(headerServerLoad)),
+		report:  t.reportFormat.DecodeText(res.Header.Get(headerServerLoad)),
 	}
 	if result.outcome == policy.Succeeded {
 		result.header, result.body = res.Header, res.body
@@ -101,7 +100,7 @@
 			done(false, policy.LoadReport{})
 			return
 		}
-		done(res.StatusCode == http.StatusOK, t.parseReport(string(res.body)))
+		done(res.StatusCode == http.StatusOK, t.reportFormat.DecodeText(string(res.body)))
 	}()
 }
 
--- a/internal/sidecarbench/standin_peers.go
+++ b/internal/sidecarbench/standin_peers.go
@@ -64,7 +64,7 @@
 
 // countDatagrams counts what a socket receives, until it fails.
 func (s *standInServer) countDatagrams(conn *net.UDPConn) {
-	buf := make([]byte, gossip.Most+1)
+	buf := make([]byte, gossip.MaxDatagram+1)
 	for {
 		n, err := conn.Read(buf)
 		if err != nil {
