--- /dev/null
+++ b/internal/sidecar/parse_test.go
@@ -0,0 +1,203 @@
+package sidecar
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"cranehatch/policy"
+)
+
+// An invalid request gets the status that says what is wrong with it, and no attempt. A body of the maximum
+// length is valid.
+func TestBadInput(t *testing.T) {
+	s := newStub(t, echo)
+	side := start(t, nil, s.address)
+	for name, c := range map[string]struct {
+		method  string
+		path    string
+		body    string
+		headers []string // name, value; an empty value removes the header
+		status  int
+	}{
+		"no id":                      {"GET", "/look", "", []string{"X-Request-ID", ""}, 400},
+		"no class":                   {"GET", "/look", "", []string{"X-Priority-Class", ""}, 400},
+		"unknown class":              {"GET", "/nothing", "", nil, 400},
+		"class other than the path":  {"GET", "/look", "", []string{"X-Priority-Class", "entry"}, 400},
+		"no tenant":                  {"GET", "/look", "", []string{"X-Tenant-Id", ""}, 400},
+		"unknown tenant":             {"GET", "/look", "", []string{"X-Tenant-Id", "east"}, 400},
+		"no timeout":                 {"GET", "/look", "", []string{"X-Timeout", ""}, 400},
+		"timeout without unit":       {"GET", "/look", "", []string{"X-Timeout", "480"}, 400},
+		"timeout not a number":       {"GET", "/look", "", []string{"X-Timeout", "NaNm"}, 400},
+		"timeout below 0":            {"GET", "/look", "", []string{"X-Timeout", "-5m"}, 400},
+		"timeout of 0":               {"GET", "/look", "", []string{"X-Timeout", "0m"}, 400},
+		"timeout beyond the class's": {"GET", "/look", "", []string{"X-Timeout", "900000000m"}, 400},
+		"malformed cost":             {"GET", "/look", "", []string{"X-Cost", "cheap"}, 400},
+		"idempotency key missing":    {"POST", "/reading", "1", nil, 400},
+		"idempotency key of no use":  {"POST", "/entry", "1", []string{"Idempotency-Key", "k"}, 400},
+		"POST in a GET class":        {"POST", "/look", "", nil, 405},
+		"HEAD":                       {"HEAD", "/look", "", nil, 405},
+		"body on GET":                {"GET", "/look", "1", nil, 400},
+		"body too long":              {"POST", "/entry", strings.Repeat("x", maxBodyBytes+1), nil, 413},
+	} {
+		t.Run(name, func(t *testing.T) {
+			res, _ := do(t, side.request(t, c.method, c.path, c.body, c.headers...))
+			if res.StatusCode != c.status {
+				t.Errorf("%s, want %d", res.Status, c.status)
+			}
+		})
+	}
+	res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes)))
+	if res.StatusCode != 200 || body != "done r1" {
+		t.Errorf("body of the maximum length: %s %q", res.Status, body)
+	}
+	if len(s.seen) != 1 {
+		t.Errorf("the server got %d requests, want only the valid one", len(s.seen))
+	}
+}
+
+// The headers of a request become the fields of policy.Request.
+func TestParseRequestMapsHeaders(t *testing.T) {
+	cfg := testConfig(t, listed(1, "ready"), nil)
+	f := newIngress(cfg, newClock(), nil)
+	newRequest := func(headers ...string) *http.Request {
+		r := httptest.NewRequest(http.MethodGet, "/look/hive", nil)
+		r.Header.Set("X-Request-ID", "r1")
+		r.Header.Set("X-Priority-Class", "look")
+		r.Header.Set("X-Tenant-Id", "south")
+		r.Header.Set("X-Timeout", "480m")
+		for i := 0; i < len(headers); i += 2 {
+			r.Header.Set(headers[i], headers[i+1])
+		}
+		return r
+	}
+	class, tenant := cfg.Classes["look"], cfg.Tenants["south"]
+	for name, c := range map[string]struct {
+		headers []string
+		want    policy.Request
+	}{
+		"class and tenant":  {nil, policy.Request{Class: class, Tenant: tenant}},
+		"cost":              {[]string{"X-Cost", "12.5"}, policy.Request{Class: class, Tenant: tenant, ExpectedWork: 12500 * time.Nanosecond}},
+		"retried":           {[]string{"X-Retried", "1"}, policy.Request{Class: class, Tenant: tenant, ClientRetry: true}},
+		"retried, not 1":    {[]string{"X-Retried", "0"}, policy.Request{Class: class, Tenant: tenant}},
+		"route key, FNV-1a": {[]string{"X-Route-Key", "a"}, policy.Request{Class: class, Tenant: tenant, Key: 0xaf63dc4c8601ec8c}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			parsed, rejected := f.parseRequest(newRequest(c.headers...))
+			if rejected != nil {
+				t.Fatal(rejected)
+			}
+			if want := (parsedRequest{policy: c.want, timeout: 480 * time.Millisecond}); parsed != want {
+				t.Errorf("%+v, want %+v", parsed, want)
+			}
+		})
+	}
+}
+
+func TestParseTimeout(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"480m":                  480 * time.Millisecond,
+		"250u":                  250 * time.Microsecond,
+		"0.5m":                  500 * time.Microsecond,
+		"0u":                    0,
+		"99999999999999999999m": maxTimeout,
+	} {
+		t.Run(text, func(t *testing.T) {
+			if got, ok := parseTimeout(text); !ok || got != want {
+				t.Errorf("%v, %v, want %v", got, ok, want)
+			}
+		})
+	}
+	malformed := []string{
+		"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m",
+	}
+	for _, text := range malformed {
+		t.Run(fmt.Sprintf("malformed %q", text), func(t *testing.T) {
+			if got, ok := parseTimeout(text); ok {
+				t.Errorf("accepted as %v", got)
+			}
+		})
+	}
+}
+
+// rawHead is the head of a valid request of the class entry, but for its Content-Length and the empty line.
+const rawHead = "POST /entry HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 9000m\r\n"
+
+// sendRaw sends bytes on a new connection and returns the statuses of the responses on it. The sidecar must
+// close the connection.
+func (s *running) sendRaw(t *testing.T, bytes string) []int {
+	t.Helper()
+	c, err := net.Dial("tcp", s.address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(generous))
+	if _, err := io.WriteString(c, bytes); err != nil {
+		t.Fatal(err)
+	}
+	var statuses []int
+	for r := bufio.NewReader(c); ; {
+		res, err := http.ReadResponse(r, nil)
+		if err != nil {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
+				t.Errorf("%.60q: the connection stays open", bytes)
+			}
+			return statuses
+		}
+		_, _ = io.Copy(io.Discard, res.Body)
+		statuses = append(statuses, res.StatusCode)
+	}
+}
+
+// A client sends a request that can't be read, or whose end is in doubt: a second request may be hidden in its
+// body. It gets one error, the connection closes without a look at what follows, and nothing reaches a server.
+func TestMalformedRequests(t *testing.T) {
+	s := newStub(t, echo)
+	side := start(t, nil, s.address)
+	head := fmt.Sprintf(rawHead, "r1")
+	hidden := fmt.Sprintf(rawHead, "hidden") + "Content-Length: 1\r\n\r\n1"
+	for name, c := range map[string]struct {
+		status int
+		bytes  string
+	}{
+		"hidden behind both lengths":   {411, head + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(hidden)+5, hidden)},
+		"hidden behind chunks":         {411, head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden},
+		"hidden behind chunks, 1.0":    {505, strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1" + hidden},
+		"no length":                    {411, head + "\r\n" + hidden},
+		"two lengths":                  {400, head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n1" + hidden},
+		"negative length":              {400, head + "Content-Length: -1\r\n\r\n" + hidden},
+		"huge length":                  {413, head + "Content-Length: 60000000\r\n\r\n" + hidden},
+		"two ids":                      {400, head + "X-Request-ID: r2\r\nContent-Length: 1\r\n\r\n1" + hidden},
+		"absolute URL as target":       {400, strings.Replace(head, "/entry", "http://a/entry", 1) + "Content-Length: 1\r\n\r\n1" + hidden},
+		"body shorter than its length": {408, head + "Content-Length: 100\r\n\r\n1"},
+		"not HTTP":                     {400, "\x00\x01\x02 nonsense\r\n\r\n" + hidden},
+		"headers above the limit":      {431, head + strings.Repeat("X-A: "+strings.Repeat("x", 1000)+"\r\n", 40)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			if got := side.sendRaw(t, c.bytes); len(got) != 1 || got[0] != c.status {
+				t.Errorf("responses %v, want %d and a close", got, c.status)
+			}
+		})
+	}
+	for name, bytes := range map[string]string{"half a head": head, "nothing": ""} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			side.sendRaw(t, bytes)
+		})
+	}
+	t.Cleanup(func() {
+		if len(s.seen) > 0 {
+			t.Errorf("%d requests reached the server", len(s.seen))
+		}
+	})
+}
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -87,7 +87,7 @@
 func TestOldestIdleConnectionIsUsedFirst(t *testing.T) {
 	bothArrived := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
-		if id := r.Header.Get(headerRequestID); id == "1" || id == "2" {
+		if id := r.Header.Get("X-Request-ID"); id == "1" || id == "2" {
 			<-bothArrived
 		}
 		return echo(c, r)
@@ -116,7 +116,7 @@
 // then is found.
 func TestDuplicateResponseIsNotTheNextResponse(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
-		if id := r.Header.Get(headerRequestID); r.conn == 0 && id != "1" {
+		if id := r.Header.Get("X-Request-ID"); r.conn == 0 && id != "1" {
 			return ok(c, "done 1")
 		}
 		return echo(c, r)
@@ -151,7 +151,7 @@
 // shows whether the machine can be reached. An attempt with less time than a dial may take shows nothing.
 func TestTimeoutClosesOlderIdleConnections(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
-		id := r.Header.Get(headerRequestID)
+		id := r.Header.Get("X-Request-ID")
 		return id == "brief" || id == "silent" || echo(c, r)
 	})
 	tr := newTestTransport(t)
--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -25,7 +25,7 @@
 		uri:    "/reading",
 		host:   "service.internal",
 		body:   []byte("weight"),
-		header: http.Header{headerRequestID: {id}, headerIdempotencyKey: {"k" + id}},
+		header: http.Header{"X-Request-Id": {id}, "Idempotency-Key": {"k" + id}},
 	}
 }
 
@@ -69,7 +69,7 @@
 // policy may send it again. http.Transport does, also for a POST with an Idempotency-Key.
 func TestRequestIsNotResentOnABrokenConnection(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
-		return r.Header.Get(headerRequestID) == "1" && ok(c, "hi")
+		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
 	tr := newTestTransport(t)
 	attempt(t, tr, s.host, "1", generous)
@@ -156,7 +156,7 @@
 
 	attempt(t, tr, s.host, "3", generous)
 	wait(t, "request 1", s.seen)
-	if next := wait(t, "request 3", s.seen); next.Header.Get(headerRequestID) != "3" {
+	if next := wait(t, "request 3", s.seen); next.Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request was written")
 	}
 }
@@ -169,10 +169,10 @@
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" {
 		t.Errorf("%s %s %q for %s", r.Method, r.uri, r.body, r.Host)
 	}
-	if r.Header.Get(headerRequestID) != "7" || r.Header.Get(headerIdempotencyKey) != "k7" {
+	if r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" {
 		t.Errorf("headers %v", r.Header)
 	}
-	if remaining, ok := parseTimeout(r.Header.Get(headerTimeout)); !ok || remaining <= 0 || remaining > generous {
+	if remaining, ok := parseTimeout(r.Header.Get("X-Timeout")); !ok || remaining <= 0 || remaining > generous {
 		t.Errorf("headers %v, want a timeout of at most %v", r.Header, generous)
 	}
 }
