--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -14,34 +14,39 @@
 	"time"
 )
 
-// TestMain lets the test program stand in for the sidecar itself.
+// runMain is the environment variable that has the test program run main instead of its tests.
+const runMain = "SIDECAR_TEST_RUN_MAIN"
+
+// TestMain lets the test program stand in for the sidecar's.
 func TestMain(m *testing.M) {
-	if os.Getenv("CAPERARCH_ITSELF") != "" {
+	if os.Getenv(runMain) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// program is the sidecar with a configuration, not started yet.
-func program(t *testing.T, config string) *exec.Cmd {
+// sidecarCommand is the sidecar's program with a configuration, not started yet.
+func sidecarCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "CAPERARCH_ITSELF=1", "EDGE_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runMain+"=1", "EDGE_CONFIG="+path)
 	return cmd
 }
 
-const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
+// validConfig has it listen on a port of the system's choice, with a discovery that can't be reached.
+const validConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
 	"settings":{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
 	"classes":[{"name":"a","aim_ms":500,"hard_limit_ms":1000}]}}`
 
+// A configuration that can't be used ends the program with one log line, which names the field.
 func TestUnusableConfigEndsInOneLine(t *testing.T) {
 	var log bytes.Buffer
-	cmd := program(t, strings.Replace(usable, "30000", "0", 1))
+	cmd := sidecarCommand(t, strings.Replace(validConfig, "30000", "0", 1))
 	cmd.Stderr = &log
 	err := cmd.Run()
 	if err == nil || !strings.Contains(log.String(), "caps.conn_idle_ms") || strings.Count(log.String(), "\n") != 1 {
@@ -49,10 +54,15 @@
 	}
 }
 
-// It serves, with discovery out of reach too; SIGHUP, which would end a Go program, has it read its
-// configuration again, and SIGTERM ends it with exit code 0.
-func TestServesUntilSIGTERM(t *testing.T) {
-	cmd := program(t, usable)
+// logLines reads the log of a program line by line. A program that hangs is killed, which ends the log.
+type logLines struct {
+	*bufio.Scanner
+	killer *time.Timer
+}
+
+// startWithLog starts a program and returns its log.
+func startWithLog(t *testing.T, cmd *exec.Cmd) *logLines {
+	t.Helper()
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -60,23 +70,43 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	stuck := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() }) // so that a hang fails
-	defer stuck.Stop()
-	address := ""
-	lines := bufio.NewScanner(log)
-	for address == "" && lines.Scan() {
-		if m := regexp.MustCompile(`listen=(\S+)`).FindStringSubmatch(lines.Text()); m != nil {
-			address = m[1]
+	lines := &logLines{Scanner: bufio.NewScanner(log)}
+	lines.killer = time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() })
+	t.Cleanup(func() {
+		lines.killer.Stop()
+		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Wait()
+	})
+	return lines
+}
+
+// skipTo reads up to a line that matches, and returns its match and groups, or nil if the log ends before.
+func (l *logLines) skipTo(pattern string) []string {
+	expression := regexp.MustCompile(pattern)
+	for l.Scan() {
+		if match := expression.FindStringSubmatch(l.Text()); match != nil {
+			return match
 		}
 	}
+	return nil
+}
+
+// SIGHUP ends a Go program that does not handle it. The sidecar goes on: it reads its configuration again. It serves
+// with discovery out of reach, and SIGTERM ends it with exit code 0.
+func TestServesUntilSIGTERM(t *testing.T) {
+	cmd := sidecarCommand(t, validConfig)
+	lines := startWithLog(t, cmd)
+	listening := lines.skipTo(`listen=(\S+)`)
+	if listening == nil {
+		t.Fatal("it ended before it listened")
+	}
 	for range 3 {
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for lines.Scan() && !strings.Contains(lines.Text(), "read again") {
-	}
-	res, err := http.Get("http://" + address + "/up")
+	lines.skipTo("read again")
+	res, err := http.Get("http://" + listening[1] + "/up")
 	if err != nil || res.StatusCode != http.StatusOK {
 		t.Errorf("GET /up: %v, error %v", res, err)
 	} else {
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// generous bounds every wait: tests wait for events, and only a broken program waits this long.
+// generous limits every wait. Tests wait for events, and only a faulty program waits for so long.
 const generous = 30 * time.Second
 
-// address is one on loopback that nobody listens on.
-func address(t *testing.T) string {
+// unusedAddress is an address on loopback that nobody listens on.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,16 +28,25 @@
 	return l.Addr().String()
 }
 
-// config is a usable configuration.
-func config(listen, discovery, mode, known string, sockets int) string {
+// configValues are what tests vary in a valid configuration.
+type configValues struct {
+	listen         string
+	discovery      string
+	mode           string // ask: the endpoint list is polled; push: it is pushed
+	cachedList     string
+	maxDescriptors int
+}
+
+func (v configValues) text() string {
 	return fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"1f","limits":{"memory_mb":64,"sockets":%d},"known":%s,
 	"settings":{"balancers":1,"discovery":%q,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
 	"rules":{"ask_within_ms":10000,"stop_sending_within_ms":1000},
-	"classes":[{"name":"a","aim_ms":5000,"hard_limit_ms":10000,"semantics":"free"}]}}`, listen, discovery, sockets, known, mode)
+	"classes":[{"name":"a","aim_ms":5000,"hard_limit_ms":10000,"semantics":"free"}]}}`,
+		v.listen, v.discovery, v.maxDescriptors, v.cachedList, v.mode)
 }
 
-// begin starts the program, which ends with the test.
-func begin(t *testing.T, cmd *exec.Cmd) {
+// startUntilTestEnds starts a program, which is killed at the end of the test.
+func startUntilTestEnds(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	cmd.Stderr = io.Discard
 	if err := cmd.Start(); err != nil {
@@ -49,8 +58,9 @@
 	})
 }
 
-// get asks on a connection of its own until the answer is 200.
-func get(t *testing.T, url string, headers ...string) {
+// getUntilOK sends requests, each on a connection of its own, until one is answered with 200. headers are names and
+// values; with any the request is one to a server and gets an id.
+func getUntilOK(t *testing.T, url string, headers ...string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(t.Context(), generous)
@@ -68,7 +78,7 @@
 			req.Header.Set("X-Request-ID", fmt.Sprintf("r%d", n))
 		}
 		res, err := client.Do(req)
-		if err != nil { // not up yet, or shut to make room
+		if err != nil { // it does not listen yet, or has closed the connection at its limit
 			last = err.Error()
 			continue
 		}
@@ -77,43 +87,68 @@
 			return
 		}
 	}
-	t.Fatalf("GET %s in vain: %s", url, last)
+	t.Fatalf("GET %s was not answered with 200, the last time: %s", url, last)
 }
 
-// discoveries are what a restarted process may find: each listens at an address, or not.
-var discoveries = map[string]func(net.Conn){
-	"down":   nil,
-	"silent": func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
-	"overbooked": func(c net.Conn) {
-		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			_, _ = io.WriteString(c, "HTTP/1.1 503 Overbooked\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+// serveConns has serve take each connection to an address.
+func serveConns(t *testing.T, address string, serve func(net.Conn)) (listening string) {
+	t.Helper()
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c)
+			}()
 		}
-	},
-	"resets": func(net.Conn) {},
-	"noise":  func(c net.Conn) { _, _ = io.WriteString(c, "noise\r\n\r\n") },
+	}()
+	return l.Addr().String()
+}
+
+// faultyDiscoveries are what a restarted sidecar may find at discovery's address. nil: nobody listens there.
+var faultyDiscoveries = map[string]func(net.Conn){
+	"down":       nil,
+	"silent":     func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
+	"overloaded": respondOverloaded,
+	"resets":     func(net.Conn) {},
+	"noise":      func(c net.Conn) { _, _ = io.WriteString(c, "noise\r\n\r\n") },
 }
 
-// A restarted process is ready whatever becomes of its calls to discovery and however old the list is that it was
-// given: none of these discoveries ever tells it a list, so it can't be waiting for one.
+func respondOverloaded(c net.Conn) {
+	if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
+		_, _ = io.WriteString(c, "HTTP/1.1 503 Overbooked\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+	}
+}
+
+// A sidecar crashes while discovery is down. If it waited for discovery after its restart, its application would not
+// be served for as long. It must be ready whatever becomes of its calls to discovery, and however old its cached list
+// is: none of these discoveries ever responds with a list, so it can't be waiting for one.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, answer := range discoveries {
-		for _, known := range []string{
+	for name, serve := range faultyDiscoveries {
+		for _, cachedList := range []string{
 			`null`, `{}`, `{"generation":0,"reset":true,"instances":[]}`,
 			`{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`,
 		} {
 			for _, mode := range []string{"ask", "push"} {
-				t.Run(name+"/"+mode+"/"+known, func(t *testing.T) {
+				t.Run(name+"/"+mode+"/"+cachedList, func(t *testing.T) {
 					t.Parallel()
-					at := address(t)
-					if answer != nil {
-						at = serveAt(t, "127.0.0.1:0", answer)
+					discovery := unusedAddress(t)
+					if serve != nil {
+						discovery = serveConns(t, "127.0.0.1:0", serve)
 					}
-					listen := address(t)
-					text := config(listen, at, mode, known, 64)
+					values := configValues{listen: unusedAddress(t), discovery: discovery, mode: mode, cachedList: cachedList, maxDescriptors: 64}
 					for range 2 { // the first is killed and starts again, as after a crash
-						cmd := program(t, text)
-						begin(t, cmd)
-						get(t, "http://"+listen+"/up")
+						cmd := sidecarCommand(t, values.text())
+						startUntilTestEnds(t, cmd)
+						getUntilOK(t, "http://"+values.listen+"/up")
 						if err := cmd.Process.Kill(); err != nil {
 							t.Fatal(err)
 						}
@@ -125,110 +160,91 @@
 	}
 }
 
-// One whose address is still in use waits for it: the process before it is ending.
+// A sidecar is restarted while the process before it still holds the address, as it is exiting. It must wait for the
+// address instead of ending.
 func TestReadyOnceItsAddressIsFree(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := l.Addr().String()
-	cmd := program(t, config(at, address(t), "push", "{}", 64))
-	log, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		_ = cmd.Process.Kill()
-		_ = cmd.Wait()
-	})
-	waits := false
-	for lines := bufio.NewScanner(log); !waits && lines.Scan(); {
-		waits = strings.Contains(lines.Text(), "waited for")
-	}
-	if !waits {
+	address := l.Addr().String()
+	values := configValues{listen: address, discovery: unusedAddress(t), mode: "push", cachedList: "{}", maxDescriptors: 64}
+	lines := startWithLog(t, sidecarCommand(t, values.text()))
+	if lines.skipTo("waited for") == nil {
 		t.Fatal("it ended")
 	}
 	l.Close()
-	get(t, "http://"+at+"/up")
+	getUntilOK(t, "http://"+address+"/up")
 }
 
-// serveAt has answer take each connection to an address.
-func serveAt(t *testing.T, at string, answer func(net.Conn)) string {
-	t.Helper()
-	l, err := net.Listen("tcp", at)
-	if err != nil {
-		t.Fatal(err)
+// respondHello answers one request.
+func respondHello(c net.Conn) {
+	if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
 	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				answer(c)
-			}()
+}
+
+// serveList serves a discovery whose list has one server. It returns a channel with an item for each read of the list.
+func serveList(t *testing.T, address, server string) (read chan struct{}) {
+	t.Helper()
+	read = make(chan struct{}, 100)
+	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"ready"}]}`, server)
+	serveConns(t, address, func(c net.Conn) {
+		req, err := http.ReadRequest(bufio.NewReader(c))
+		if err != nil {
+			return
 		}
-	}()
-	return l.Addr().String()
+		if strings.Contains(req.URL.RawQuery, "wait=") && req.FormValue("wait") != "1" {
+			_, _ = io.Copy(io.Discard, c) // a watch: there is no change
+			return
+		}
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+		read <- struct{}{}
+	})
+	return read
 }
 
-// Idle clients that fill all descriptors while discovery is down keep nobody else out: at its return the list is
-// read, the server that it alone names is reached, and a new client is answered.
-func TestIdleClientsLeaveRoom(t *testing.T) {
-	const sockets = 64
-	for name, says := range map[string]string{
-		"silent": "", "half a head": "GET /a HTTP/1.1\r\nHost: x\r\n", "resting": "GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
+// withDescriptorLimit is a command under an operating system limit on its descriptors.
+func withDescriptorLimit(cmd *exec.Cmd, limit int) *exec.Cmd {
+	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, limit), os.Args[0])
+	limited.Env = cmd.Env
+	return limited
+}
+
+// Clients open more connections than the sidecar has descriptors and send nothing on them, while discovery is down.
+// A sidecar that let them hold the descriptors could not call discovery on its return, nor reach a server. The list
+// must be read, the server that only this list names be reached, and a new client be answered.
+func TestIdleClientsDoNotStarveOthers(t *testing.T) {
+	const maxDescriptors = 64
+	for name, firstBytes := range map[string]string{
+		"silent":      "",
+		"half a head": "GET /a HTTP/1.1\r\nHost: x\r\n",
+		"resting":     "GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
 		for _, mode := range []string{"ask", "push"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
-				server := serveAt(t, "127.0.0.1:0", func(c net.Conn) {
-					if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-						_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
-					}
-				})
-				discovery, listen := address(t), address(t)
-				cmd := program(t, config(listen, discovery, mode, "{}", sockets))
-				limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), os.Args[0])
-				limited.Env = cmd.Env
-				begin(t, limited)
-				get(t, "http://"+listen+"/up")
-				for range 2 * sockets {
-					c, err := net.Dial("tcp", listen)
+				server := serveConns(t, "127.0.0.1:0", respondHello)
+				values := configValues{listen: unusedAddress(t), discovery: unusedAddress(t), mode: mode, cachedList: "{}", maxDescriptors: maxDescriptors}
+				startUntilTestEnds(t, withDescriptorLimit(sidecarCommand(t, values.text()), maxDescriptors))
+				getUntilOK(t, "http://"+values.listen+"/up")
+				for range 2 * maxDescriptors {
+					c, err := net.Dial("tcp", values.listen)
 					if err != nil {
 						t.Fatal(err)
 					}
 					defer c.Close()
-					if _, err := io.WriteString(c, says); err != nil && says == "" {
+					if _, err := io.WriteString(c, firstBytes); err != nil && firstBytes == "" {
 						t.Fatal(err)
 					}
 				}
-				read := make(chan struct{}, 100)
-				serveAt(t, discovery, func(c net.Conn) {
-					req, err := http.ReadRequest(bufio.NewReader(c))
-					if err != nil {
-						return
-					}
-					if strings.Contains(req.URL.RawQuery, "wait=") && req.FormValue("wait") != "1" {
-						_, _ = io.Copy(io.Discard, c) // a watch: nothing changes
-						return
-					}
-					list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"ready"}]}`, server)
-					_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-					read <- struct{}{}
-				})
+				read := serveList(t, values.discovery, server)
 				select {
 				case <-read:
 				case <-time.After(generous):
 					t.Fatal("the list was not read")
 				}
-				get(t, "http://"+listen+"/a", "X-Priority-Class", "a", "X-Timeout", "9000m")
+				getUntilOK(t, "http://"+values.listen+"/a", "X-Priority-Class", "a", "X-Timeout", "9000m")
 			})
 		}
 	}
