--- /dev/null
+++ b/policy/balancer_test.go
@@ -0,0 +1,91 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOddEventsArePassedOver(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2))
+	b.Request(0, Request{ID: 1, Class: 99, Timeout: time.Second})
+	b.Request(0, Request{ID: 2, Class: -1, Timeout: time.Second})
+	b.Request(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
+	b.Request(0, Request{ID: 4, Timeout: 0})
+	b.Request(0, Request{ID: 5, Timeout: -time.Second})
+	if len(h.refused) != 5 || len(h.sends) != 0 {
+		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
+	}
+	ask(b, 0, 6, safeClass)
+	ask(b, 0, 6, safeClass) // held already
+	end(b, 0, 6, 3, Succeeded)
+	end(b, 0, 6, -1, Succeeded)
+	end(b, 0, 77, 0, Succeeded)
+	b.ClientDisconnected(0, 77)
+	b.StreamStarted(77)
+	if len(h.sends) != 1 || b.FreeSlots(0) != 5 {
+		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.FreeSlots(0))
+	}
+	end(b, ms, 6, 0, Succeeded)
+	end(b, ms, 6, 0, Succeeded) // twice
+	if b.FreeSlots(0) != 6 {
+		t.Fatalf("slots free %d after a repeated outcome, want 6", b.FreeSlots(0))
+	}
+}
+
+func TestClientGoneFreesAndForgets(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1))
+	ask(b, 0, 1, safeClass)
+	b.ClientDisconnected(ms, 1)
+	if len(h.cancelled) != 1 || b.FreeSlots(0) != 5 {
+		t.Fatal("the attempt was not called off, or its slot freed before it ended")
+	}
+	end(b, 2*ms, 1, 0, Cancelled)
+	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.FreeSlots(0) != 6 {
+		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+	}
+}
+
+func TestStreamIsLeftAlone(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2))
+	ask(b, 0, 1, safeClass)
+	b.StreamStarted(1)
+	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
+		b.TimerFired(now)
+	}
+	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
+		t.Fatal("a stream that had begun was answered, called off or sent again")
+	}
+	b.Outcome(11*time.Second, Outcome{RequestID: 1, Result: ConnectionLost, Answered: true})
+	if len(b.requests) != 0 {
+		t.Fatal("the ended stream is still held")
+	}
+}
+
+func TestMemoryStaysBounded(t *testing.T) {
+	b, _ := start(t, testConfig(), ready(1, 2))
+	for id := range RequestID(20000) {
+		now := time.Duration(id) * 5 * ms
+		ask(b, now, id, safeClass)
+		switch id % 3 {
+		case 0:
+			end(b, now+ms, id, 0, Succeeded)
+		case 1:
+			b.ClientDisconnected(now+ms, id)
+			end(b, now+2*ms, id, 0, Cancelled)
+		case 2:
+			end(b, now+ms, id, 0, ConnectionLost)
+			end(b, now+2*ms, id, 1, Succeeded)
+		}
+		if id%100 == 0 {
+			b.UpdateEndpoints(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), State: Ready, Weight: 1}})
+			b.UpdateEndpoints(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), State: Removed}})
+		}
+		b.TimerFired(now + 3*ms)
+	}
+	b.TimerFired(time.Hour)
+	// A few had their second attempt after a pause, behind the end that this test told of.
+	if len(b.requests) > 20 || len(b.open) > 3 || len(b.endpoints.all) != 2 || cap(b.open) > 100 {
+		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
+			len(b.requests), len(b.open), cap(b.open), len(b.endpoints.all))
+	}
+}
--- a/policy/cold_test.go
+++ b/policy/slowstart_test.go
@@ -9,6 +9,107 @@
 	"time"
 )
 
+func TestColdServerIsSpared(t *testing.T) {
+	for _, balancers := range []int{1, 4} {
+		cfg := testConfig()
+		cfg.Balancers = balancers
+		list := ready(1, 2)
+		b, h := start(t, cfg, list)
+		list[0].StartedAt = 10 * time.Second // restarted under the same id
+		b.UpdateEndpoints(10*time.Second, DeltaUpdate, list[:1])
+		id := RequestID(0)
+		sends := map[bool]int{} // by whether in the first window
+		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
+			before := h.sentTo(1)
+			ask(b, now, id, safeClass)
+			end(b, now+ms, id, 0, Succeeded)
+			id++
+			if h.sentTo(1) > before && now < 11*time.Second {
+				sends[true]++
+			}
+		}
+		// Capacity by the quotas: 100 a second over two servers; cold at 0.3, budget 3 times that.
+		budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
+		if n := float64(sends[true]); n == 0 || n > budget {
+			t.Errorf("%d balancers: %v sends in the first second, budget of each %.1f", balancers, n, budget)
+		}
+		if h.sentTo(1) < 500 {
+			t.Errorf("%d balancers: only %d sends once it had warmed up", balancers, h.sentTo(1))
+		}
+	}
+}
+
+// Guards against rule 4 at the grown delta-rounds (big-1, big-2 untouched): hundreds of sidecars, each with a
+// first send free, push a restarted server over within a second of its listing.
+func TestManyBalancersSpareAColdServer(t *testing.T) {
+	const balancers, servers = 400, 40
+	cfg := testConfig()
+	cfg.Balancers, cfg.Slots = balancers, 0
+	cfg.Tenants = []Tenant{{Weight: 1, Quota: 4 * balancers}}
+	var times []time.Duration
+	for n := range balancers {
+		cfg.Index = n
+		list := ready()
+		for id := range EndpointID(servers) {
+			list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
+		}
+		b, h := startSeeded(t, cfg, uint64(n), list)
+		for id := range EndpointID(servers) {
+			if id != 5 {
+				b.endpoints.find(id).nextTurn = math.Inf(1) // the others are down: all would go to the cold one
+			}
+		}
+		b.UpdateEndpoints(10*time.Second, DeltaUpdate, []Endpoint{{ID: 5, State: Ready, Weight: 1, StartedAt: 10 * time.Second}})
+		for i := range 400 {
+			now := 10*time.Second + time.Duration(i)*10*ms
+			before := h.sentTo(5)
+			if i%10 == n%10 {
+				ask(b, now, RequestID(i), unsafeClass)
+				if last := h.sends[len(h.sends)-1]; last.to != 5 {
+					end(b, now, last.id, 0, Succeeded)
+				}
+			}
+			b.TimerFired(now)
+			if h.sentTo(5) > before {
+				times = append(times, now)
+				end(b, now, RequestID(i), 0, Succeeded)
+			}
+		}
+	}
+	// It can do 40 a second when warm, 0.3 of that at first; three times that for a second is the limit.
+	for from := 10 * time.Second; from < 13*time.Second; from += 100 * ms {
+		got := 0
+		for _, at := range times {
+			if at >= from && at < from+time.Second {
+				got++
+			}
+		}
+		warmth := 0.3 + 0.7*(from-10*time.Second).Seconds()/8
+		if most := 3 * 40 * warmth; float64(got) > most {
+			t.Fatalf("%d sends to the cold server in the second from %v, at most %.0f", got, from, most)
+		}
+	}
+	if len(times) < 20 {
+		t.Fatalf("only %d sends: the test shows nothing", len(times))
+	}
+}
+
+// A server back from silence is taken for cold before the list tells.
+func TestServerBackFromSilenceIsSpared(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1))
+	ask(b, 0, 1, unsafeClass)
+	end(b, time.Second, 1, 0, TimedOut)
+	forgetAsked(b)
+	ask(b, 1100*ms, 2, unsafeClass)
+	end(b, 2100*ms, 2, 0, TimedOut)
+	forgetAsked(b)
+	ask(b, 3*time.Second, 3, unsafeClass)
+	end(b, 3100*ms, 3, 0, Succeeded)
+	if b.endpoints.find(1).slowStartUntil != 3100*ms+8*time.Second || len(h.log) == 0 {
+		t.Fatalf("cold until %v, log %v", b.endpoints.find(1).slowStartUntil, h.log)
+	}
+}
+
 // coldFleet plays balancers that send to the same servers, some of which have just started, and counts what all of
 // them together send to each of these. Attempts end well after coldAnswer, but those that fail.
 type coldFleet struct {
