--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,15 +6,15 @@
 )
 
 // Guards against incident i47e131: a thousand balancers with a slot each go on sending what comes back late.
-func TestAdmissionFollowsAnswersInTime(t *testing.T) {
+func TestAdmissionFollowsGoodput(t *testing.T) {
 	sent := func(end1 Result, took time.Duration) int {
 		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 		for id := range RequestID(200) {
 			now := time.Duration(id) * 500 * ms
 			n := len(h.sends)
-			ask(b, now, id, unsafeClass)
+			submit(b, now, id, nonIdempotentClass)
 			if len(h.sends) > n {
-				end(b, now+took, id, 0, end1)
+				finish(b, now+took, id, 0, end1)
 			}
 		}
 		return len(h.sends)
@@ -31,12 +31,12 @@
 }
 
 // One tenth of failures, as from one bad server of ten, must not refuse anything.
-func TestAdmissionIsPatientWithFewFailures(t *testing.T) {
+func TestAdmissionToleratesFewFailures(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 	for id := range RequestID(300) {
 		now := time.Duration(id) * 100 * ms
-		ask(b, now, id, unsafeClass)
-		end(b, now+50*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[id%10 == 9])
+		submit(b, now, id, nonIdempotentClass)
+		finish(b, now+50*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[id%10 == 9])
 	}
 	if len(h.sends) != 300 {
 		t.Fatalf("%d of 300 sent", len(h.sends))
@@ -44,7 +44,7 @@
 }
 
 // Worth decides what is shed first: the same shortage costs the worthier class less.
-func TestAdmissionShedsTheLessWorthyFirst(t *testing.T) {
+func TestAdmissionShedsLowPriorityFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 4
@@ -66,7 +66,7 @@
 
 // Guards against admission that locks itself in: after a bad while the worthy class alone fits into what
 // was answered of late, the others' clients ask again at once, and their counting as shut out kept them out.
-func TestAdmissionComesBackAfterABadWhile(t *testing.T) {
+func TestAdmissionRecoversAfterFailures(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots, cfg.MaxAttempts = 1, 100, 1
 	cfg.Classes = cfg.Classes[:2]
@@ -77,11 +77,11 @@
 	let := func(now time.Duration, class int) bool {
 		id++
 		n := len(h.sends)
-		ask(b, now, id, class)
+		submit(b, now, id, class)
 		if len(h.sends) == n {
 			return false
 		}
-		end(b, now+10*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[now < bad])
+		finish(b, now+10*ms, id, 0, map[bool]Result{true: ServerError, false: Succeeded}[now < bad])
 		return true
 	}
 	lately, shut := 0, 0
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-func TestOddEventsArePassedOver(t *testing.T) {
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	b.Request(0, Request{ID: 1, Class: 99, Timeout: time.Second})
 	b.Request(0, Request{ID: 2, Class: -1, Timeout: time.Second})
 	b.Request(0, Request{ID: 3, Tenant: 7, Timeout: time.Second})
 	b.Request(0, Request{ID: 4, Timeout: 0})
 	b.Request(0, Request{ID: 5, Timeout: -time.Second})
-	if len(h.refused) != 5 || len(h.sends) != 0 {
-		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
+	if len(h.rejected) != 5 || len(h.sends) != 0 {
+		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.rejected), len(h.sends))
 	}
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 6, safeClass) // held already
-	end(b, 0, 6, 3, Succeeded)
-	end(b, 0, 6, -1, Succeeded)
-	end(b, 0, 77, 0, Succeeded)
+	submit(b, 0, 6, idempotentClass)
+	submit(b, 0, 6, idempotentClass) // held already
+	finish(b, 0, 6, 3, Succeeded)
+	finish(b, 0, 6, -1, Succeeded)
+	finish(b, 0, 77, 0, Succeeded)
 	b.ClientDisconnected(0, 77)
 	b.StreamStarted(77)
 	if len(h.sends) != 1 || b.FreeSlots(0) != 5 {
 		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.FreeSlots(0))
 	}
-	end(b, ms, 6, 0, Succeeded)
-	end(b, ms, 6, 0, Succeeded) // twice
+	finish(b, ms, 6, 0, Succeeded)
+	finish(b, ms, 6, 0, Succeeded) // twice
 	if b.FreeSlots(0) != 6 {
 		t.Fatalf("slots free %d after a repeated outcome, want 6", b.FreeSlots(0))
 	}
 }
 
-func TestClientGoneFreesAndForgets(t *testing.T) {
+func TestClientDisconnectedFreesSlot(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	b.ClientDisconnected(ms, 1)
 	if len(h.cancelled) != 1 || b.FreeSlots(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
 	}
-	end(b, 2*ms, 1, 0, Cancelled)
-	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.FreeSlots(0) != 6 {
-		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+	finish(b, 2*ms, 1, 0, Cancelled)
+	if len(h.rejected)+len(h.failed) != 0 || len(b.requests) != 0 || b.FreeSlots(0) != 6 {
+		t.Fatalf("answers %d, held %d", len(h.rejected)+len(h.failed), len(b.requests))
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStreamingRequestIsNotAnswered(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+	submit(b, 0, 1, idempotentClass)
 	b.StreamStarted(1)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
-	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
+	if len(h.rejected)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
 		t.Fatal("a stream that had begun was answered, called off or sent again")
 	}
 	b.Outcome(11*time.Second, Outcome{RequestID: 1, Result: ConnectionLost, Answered: true})
@@ -65,16 +65,16 @@
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		switch id % 3 {
 		case 0:
-			end(b, now+ms, id, 0, Succeeded)
+			finish(b, now+ms, id, 0, Succeeded)
 		case 1:
 			b.ClientDisconnected(now+ms, id)
-			end(b, now+2*ms, id, 0, Cancelled)
+			finish(b, now+2*ms, id, 0, Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, ConnectionLost)
-			end(b, now+2*ms, id, 1, Succeeded)
+			finish(b, now+ms, id, 0, ConnectionLost)
+			finish(b, now+2*ms, id, 1, Succeeded)
 		}
 		if id%100 == 0 {
 			b.UpdateEndpoints(now, DeltaUpdate, []Endpoint{{ID: EndpointID(1000 + id), State: Ready, Weight: 1}})
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -24,7 +24,7 @@
 // BenchmarkList measures a whole list, and then one changed line.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{16, 200, 11000} {
-		list := benchList(servers)
+		list := benchEndpoints(servers)
 		b.Run(fmt.Sprintf("full/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -49,13 +49,13 @@
 }
 
 func benchConfig(peers int) Config {
-	cfg := sizeConfig(peers)
+	cfg := largeFleetConfig(peers)
 	cfg.Tenants = []Tenant{{Weight: 1, Quota: benchRate * float64(peers)}}
 	return cfg
 }
 
-// benchList is in no order of ids, as discovery's is.
-func benchList(servers int) (list []Endpoint) {
+// benchEndpoints is in no order of ids, as discovery's is.
+func benchEndpoints(servers int) (list []Endpoint) {
 	for i := range servers {
 		list = append(list, Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
 	}
@@ -82,7 +82,7 @@
 	const apart, took = time.Second / benchRate, 20 * ms
 	now := time.Second
 	x.Start(now)
-	x.UpdateEndpoints(now, FullUpdate, benchList(servers))
+	x.UpdateEndpoints(now, FullUpdate, benchEndpoints(servers))
 	var next, done RequestID
 	var wake time.Duration
 	told, owed, news := 1, 0.0, 0
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -7,7 +7,7 @@
 
 // Guards against: servers that answer late, slow themselves
 // or crowded by others, keep an even part of the attempts.
-func TestSlowServerHoldsLess(t *testing.T) {
+func TestEndpointLimitFollowsCongestion(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
 		b.endpoints.find(1).congestion += (0.8*0.8 - b.endpoints.find(1).congestion) / 8
@@ -19,13 +19,13 @@
 
 // Guards against: one attempt each from many balancers chokes small servers,
 // and balancers of few slots refuse too much while servers are a bit crowded.
-func TestWholeBalancerHoldsBackWhenAllAreCrowded(t *testing.T) {
+func TestConcurrencyLimitUnderCongestion(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
 	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 4 || b.Counters().ConcurrencyLimited != 2 {
 		t.Fatalf("%d attempts out of 8 slots, %d held, want 4 and 2 while every server is crowded",
@@ -34,7 +34,7 @@
 	b, h = start(t, cfg, ready(1, 2, 3, 4, 5, 6))
 	b.congestion.meanSquare = 0.13 // over the measure of a server, not yet over that of all
 	for id := range RequestID(6) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 {
 		t.Fatalf("%d attempts out of 6 slots, want all while servers are a bit crowded", len(h.sends))
@@ -42,13 +42,13 @@
 }
 
 // What the wall holds back for a client that leaves is not sent when the wall opens: not even its place is used.
-func TestClientLeavesWhileHeldByTheWall(t *testing.T) {
+func TestClientDisconnectsWhileConcurrencyLimited(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
 	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
 	for id := range RequestID(6) {
-		ask(b, 0, id, safeClass)
+		submit(b, 0, id, idempotentClass)
 	}
 	sends, held := len(h.sends), b.Counters().ConcurrencyLimited
 	if held == 0 {
@@ -62,7 +62,7 @@
 	b.congestion.meanSquare = 0
 	for id := range RequestID(6) {
 		if h.sentFor(id) > 0 {
-			end(b, 2*ms, id, 0, Succeeded)
+			finish(b, 2*ms, id, 0, Succeeded)
 		}
 	}
 	b.TimerFired(200 * ms)
@@ -73,10 +73,10 @@
 
 // Guards against a measure made for one deployment: where answers take half of the aim on servers that nobody
 // crowds, that share is no reason to hold requests back. Where it is many times what they take at the least, it is.
-func TestLongWorkIsNoCrowd(t *testing.T) {
+func TestUnloadedLatencyIsNoCongestion(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 1
-	aim := cfg.Classes[safeClass].LatencyObjective
+	aim := cfg.Classes[idempotentClass].LatencyObjective
 	for _, c := range []struct {
 		name        string
 		least, took time.Duration
@@ -88,9 +88,9 @@
 		b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
 		now := time.Duration(0)
 		answer := func(id RequestID, took time.Duration) {
-			ask(b, now, id, safeClass)
+			submit(b, now, id, idempotentClass)
 			now += took
-			end(b, now, id, 0, Succeeded)
+			finish(b, now, id, 0, Succeeded)
 		}
 		for id := range RequestID(20) {
 			answer(100+id, c.least)
@@ -100,7 +100,7 @@
 		}
 		before := len(h.sends)
 		for id := range RequestID(6) {
-			ask(b, now, id, safeClass)
+			submit(b, now, id, idempotentClass)
 		}
 		if sent := len(h.sends) - before; sent != c.want {
 			t.Errorf("%s: %d of 6 requests sent, want %d", c.name, sent, c.want)
@@ -110,14 +110,14 @@
 
 // Guards against a zone cut off (a fresh day of delta-rounds): time-outs of servers known to be strained hold back
 // requests for all others.
-func TestTimeoutsOfStrainedServersAreNoCrowd(t *testing.T) {
+func TestTimeoutsOfOutliersAreNoCongestion(t *testing.T) {
 	for _, strained := range []bool{false, true} {
 		b, _ := start(t, testConfig(), ready(1))
 		if strained {
 			b.endpoints.find(1).relativeLatency = failureLatency
 		}
-		ask(b, 0, 1, unsafeClass)
-		end(b, time.Second, 1, 0, TimedOut)
+		submit(b, 0, 1, nonIdempotentClass)
+		finish(b, time.Second, 1, 0, TimedOut)
 		if crowd := b.congestion.meanSquare > 0; crowd == strained {
 			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
 		}
@@ -125,14 +125,14 @@
 }
 
 // Guards against a fleet shrinks, and what is left is handed the portions of what went.
-func TestPortionsDoNotGrowWhenServersLeave(t *testing.T) {
+func TestEndpointLimitDoesNotGrowWithRemovals(t *testing.T) {
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	b.UpdateEndpoints(ms, FullUpdate, ready(1))
 	b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := range RequestID(6) {
-		ask(b, ms, id, safeClass)
+		submit(b, ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 2 {
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -6,7 +6,7 @@
 )
 
 // Rule 1 at the gate: nothing is sent for a request that is over, streams, is late or has had its attempts.
-func TestGateKeepsTheFirstRule(t *testing.T) {
+func TestEligibility(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1))
 	for name, r := range map[string]*request{
 		"over":    {closed: true, deadline: time.Second},
@@ -15,12 +15,12 @@
 		"out":     {deadline: time.Second, inFlight: 1},
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
-		r.class = &b.classes[safeClass]
+		r.class = &b.classes[idempotentClass]
 		if b.eligible(100*ms, r, b.endpoints.all[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.eligible(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.endpoints.all[0]) {
+	if !b.eligible(100*ms, &request{class: &b.classes[idempotentClass], deadline: time.Second}, b.endpoints.all[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -12,11 +12,11 @@
 // goldenHost writes down every action of a Balancer but its log lines, as numbers and with its time, so that
 // a rename changes nothing in it.
 type goldenHost struct {
-	now    time.Duration
-	lines  []string
-	open   []goldenAttempt
-	tries  map[RequestID]int
-	closed map[RequestID]bool
+	now      time.Duration
+	lines    []string
+	open     []goldenAttempt
+	attempts map[RequestID]int
+	closed   map[RequestID]bool
 }
 
 // goldenAttempt is an attempt that has not ended yet.
@@ -26,7 +26,7 @@
 	to      EndpointID
 }
 
-func (h *goldenHost) note(action int, args ...any) {
+func (h *goldenHost) record(action int, args ...any) {
 	line := fmt.Sprintf("%d %d", int64(h.now), action)
 	for _, arg := range args {
 		line += fmt.Sprintf(" %v", arg)
@@ -35,50 +35,50 @@
 }
 
 func (h *goldenHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.note(1, uint64(id), uint64(to), int64(timeout), int64(within))
-	h.open = append(h.open, goldenAttempt{id, h.tries[id], to})
-	h.tries[id]++
+	h.record(1, uint64(id), uint64(to), int64(timeout), int64(within))
+	h.open = append(h.open, goldenAttempt{id, h.attempts[id], to})
+	h.attempts[id]++
 }
 
 func (h *goldenHost) Reject(id RequestID, pause time.Duration) {
-	h.note(2, uint64(id), int64(pause))
+	h.record(2, uint64(id), int64(pause))
 	h.closed[id] = true
 }
 
 func (h *goldenHost) Fail(id RequestID) {
-	h.note(3, uint64(id))
+	h.record(3, uint64(id))
 	h.closed[id] = true
 }
 
-func (h *goldenHost) Cancel(id RequestID, attempt int) { h.note(4, uint64(id), attempt) }
-func (h *goldenHost) SetTimer(d time.Duration)         { h.note(5, int64(d)) }
-func (h *goldenHost) CloseIdle(to EndpointID)          { h.note(6, uint64(to)) }
-func (h *goldenHost) HealthCheck(to EndpointID)        { h.note(7, uint64(to)) }
-func (h *goldenHost) WatchEndpoints()                  { h.note(8) }
+func (h *goldenHost) Cancel(id RequestID, attempt int) { h.record(4, uint64(id), attempt) }
+func (h *goldenHost) SetTimer(d time.Duration)         { h.record(5, int64(d)) }
+func (h *goldenHost) CloseIdle(to EndpointID)          { h.record(6, uint64(to)) }
+func (h *goldenHost) HealthCheck(to EndpointID)        { h.record(7, uint64(to)) }
+func (h *goldenHost) WatchEndpoints()                  { h.record(8) }
 func (h *goldenHost) Log(HealthEvent)                  {}
 
 func (h *goldenHost) Broadcast(n GossipMessage) {
-	h.note(9, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion)
+	h.record(9, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion)
 }
 
-// goldenWorld plays one seed of random events.
-type goldenWorld struct {
-	rng     *rand.Rand
-	cfg     Config
-	host    *goldenHost
-	b       *Balancer
-	next    RequestID
-	asked   []RequestID
-	reports bool // probes and answers bring whole load reports
-	slow    int  // how much slower answers are for now
+// goldenRun plays one seed of random events.
+type goldenRun struct {
+	rng        *rand.Rand
+	cfg        Config
+	host       *goldenHost
+	b          *Balancer
+	next       RequestID
+	requestIDs []RequestID
+	reports    bool // probes and answers bring whole load reports
+	slow       int  // how much slower answers are for now
 }
 
-func (w *goldenWorld) oneIn(n int) bool { return w.rng.IntN(n) == 0 }
+func (w *goldenRun) oneIn(n int) bool { return w.rng.IntN(n) == 0 }
 
-func pickOne[T any](w *goldenWorld, values ...T) T { return values[w.rng.IntN(len(values))] }
+func pickOne[T any](w *goldenRun, values ...T) T { return values[w.rng.IntN(len(values))] }
 
-// config draws every setting that changes decisions.
-func (w *goldenWorld) config() Config {
+// randomConfig draws every setting that changes decisions.
+func (w *goldenRun) randomConfig() Config {
 	cfg := Config{
 		Balancers: pickOne(w, 1, 2, 50, 300), Zone: w.rng.IntN(2),
 		Slots: pickOne(w, 0, 0, 0, 6, 40), MaxAttempts: 1 + w.rng.IntN(4),
@@ -108,7 +108,7 @@
 	return cfg
 }
 
-func (w *goldenWorld) report() LoadReport {
+func (w *goldenRun) randomReport() LoadReport {
 	if !w.reports {
 		return LoadReport{}
 	}
@@ -116,7 +116,7 @@
 		Utilization: w.rng.Float64(), ServiceTime: time.Duration(w.rng.IntN(40)) * ms, Throughput: 30, ErrorRate: 1}
 }
 
-func (w *goldenWorld) entry(id int, state EndpointState) Endpoint {
+func (w *goldenRun) randomEndpoint(id int, state EndpointState) Endpoint {
 	s := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id%4/2*2 + id%2, State: state, Weight: pickOne(w, 1.0, 1, 2, 0)}
 	if w.oneIn(5) {
 		s.StartedAt = w.host.now - time.Duration(w.rng.IntN(5000))*ms
@@ -124,22 +124,22 @@
 	return s
 }
 
-func (w *goldenWorld) list() {
+func (w *goldenRun) updateEndpoints() {
 	kind := UpdateKind(w.rng.IntN(4))
 	var entries []Endpoint
 	switch kind {
 	case UpdateFailed:
 	case DeltaUpdate:
-		entries = append(entries, w.entry(w.rng.IntN(24), EndpointState(w.rng.IntN(3))))
+		entries = append(entries, w.randomEndpoint(w.rng.IntN(24), EndpointState(w.rng.IntN(3))))
 	default:
 		for id := range 4 + w.rng.IntN(20) {
-			entries = append(entries, w.entry(id, pickOne(w, Ready, Ready, Ready, Draining)))
+			entries = append(entries, w.randomEndpoint(id, pickOne(w, Ready, Ready, Ready, Draining)))
 		}
 	}
 	w.b.UpdateEndpoints(w.host.now, kind, entries)
 }
 
-func (w *goldenWorld) request() {
+func (w *goldenRun) submitRandomRequest() {
 	w.next++
 	q := Request{ID: w.next, Class: w.rng.IntN(len(w.cfg.Classes)), Tenant: w.rng.IntN(max(1, len(w.cfg.Tenants))),
 		Key: uint64(w.rng.IntN(6)), ExpectedWork: pickOne(w, 0, 10*ms, 60*ms), ClientRetry: w.oneIn(6)}
@@ -152,11 +152,11 @@
 	case 2:
 		q.Timeout = 0
 	}
-	w.asked = append(w.asked, q.ID)
+	w.requestIDs = append(w.requestIDs, q.ID)
 	w.b.Request(w.host.now, q)
 }
 
-func (w *goldenWorld) endOne() {
+func (w *goldenRun) endRandomAttempt() {
 	if len(w.host.open) == 0 {
 		return
 	}
@@ -168,14 +168,14 @@
 		end = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
 	}
 	settled := end == Succeeded || w.oneIn(20)
-	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: end, Answered: settled, Report: w.report()})
+	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: end, Answered: settled, Report: w.randomReport()})
 	if w.oneIn(50) { // told twice
 		w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
 	}
 }
 
 // step plays one event of any kind.
-func (w *goldenWorld) step() {
+func (w *goldenRun) step() {
 	w.host.now += time.Duration(w.rng.IntN(4000)) * time.Microsecond
 	if w.oneIn(400) {
 		w.slow = w.rng.IntN(12)
@@ -184,19 +184,19 @@
 	now := w.host.now
 	switch w.rng.IntN(20) {
 	case 0, 1, 2, 3, 4, 5:
-		w.request()
+		w.submitRandomRequest()
 	case 6, 7, 8, 9, 10:
 		if w.slow == 0 || w.oneIn(2) {
-			w.endOne()
+			w.endRandomAttempt()
 		}
 	case 11, 12, 13, 14:
 		w.b.TimerFired(now)
 	case 15:
 		if w.oneIn(12) {
-			w.list()
+			w.updateEndpoints()
 		}
 	case 16, 17:
-		w.b.HealthChecked(now, EndpointID(w.rng.IntN(24)), !w.oneIn(5), w.report())
+		w.b.HealthChecked(now, EndpointID(w.rng.IntN(24)), !w.oneIn(5), w.randomReport())
 	case 18:
 		at := now - pickOne(w, 0, 5*ms, 30*ms, time.Hour)
 		crowd := pickOne(w, 0.01, 0.2, 1, 3, -1, math.NaN())
@@ -211,19 +211,19 @@
 	}
 }
 
-// golden plays a seed and returns the digest of what the Balancer did, and how many actions that was.
-func golden(t *testing.T, seed uint64) (digest string, actions int) {
+// runGolden plays a seed and returns the digest of what the Balancer did, and how many actions that was.
+func runGolden(t *testing.T, seed uint64) (digest string, actions int) {
 	t.Helper()
-	host := &goldenHost{now: time.Hour, tries: map[RequestID]int{}, closed: map[RequestID]bool{}}
-	w := &goldenWorld{rng: rand.New(rand.NewPCG(seed, 11)), host: host, reports: true}
-	w.cfg = w.config()
+	host := &goldenHost{now: time.Hour, attempts: map[RequestID]int{}, closed: map[RequestID]bool{}}
+	w := &goldenRun{rng: rand.New(rand.NewPCG(seed, 11)), host: host, reports: true}
+	w.cfg = w.randomConfig()
 	b, err := New(w.cfg, seed, host)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.b = b
 	b.Start(host.now)
-	b.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{w.entry(0, Ready), w.entry(1, Ready), w.entry(2, Ready), w.entry(3, Ready), w.entry(5, Ready)})
+	b.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{w.randomEndpoint(0, Ready), w.randomEndpoint(1, Ready), w.randomEndpoint(2, Ready), w.randomEndpoint(3, Ready), w.randomEndpoint(5, Ready)})
 	for range 4000 {
 		w.step()
 	}
@@ -263,7 +263,7 @@
 func TestDecisionsAreUnchanged(t *testing.T) {
 	for seed, want := range goldenDigests {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			if got, actions := golden(t, uint64(seed)); got != want {
+			if got, actions := runGolden(t, uint64(seed)); got != want {
 				t.Errorf("digest of %d actions is %s, recorded was %s", actions, got, want)
 			}
 		})
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-func newsConfig() Config {
+func gossipConfig() Config {
 	cfg := testConfig()
 	cfg.Balancers, cfg.CanGossip = 4, true
 	return cfg
 }
 
-func TestNewsThatCannotBeIsDropped(t *testing.T) {
-	b, _ := start(t, newsConfig(), ready(1, 2))
+func TestImplausibleGossipIsDropped(t *testing.T) {
+	b, _ := start(t, gossipConfig(), ready(1, 2))
 	now := time.Hour
 	good := GossipMessage{SentAt: now, RequestRate: 10, Responses: 5, Congestion: 0.1}
 	for name, try := range map[string]func(n *GossipMessage) int{
@@ -45,8 +45,8 @@
 }
 
 // Guards against one slow answer of its own closing the walls of a balancer of few requests.
-func TestFleetTellsHowCrowdedServersAre(t *testing.T) {
-	b, _ := start(t, newsConfig(), ready(1, 2))
+func TestConcurrencyLimitFollowsFleetCongestion(t *testing.T) {
+	b, _ := start(t, gossipConfig(), ready(1, 2))
 	b.congestion.meanSquare = 4
 	alone := b.concurrencyLimit(time.Hour)
 	for i := 1; i < 4; i++ {
@@ -62,9 +62,9 @@
 }
 
 // Guards against a busy balancer held as small as an idle one where walls come down.
-func TestBusyBalancerHasMoreOfWhatIsLeft(t *testing.T) {
+func TestConcurrencyLimitFollowsDemand(t *testing.T) {
 	wall := func(own, others float64) float64 {
-		b, _ := start(t, newsConfig(), ready(1, 2))
+		b, _ := start(t, gossipConfig(), ready(1, 2))
 		for i := 1; i < 4; i++ {
 			b.ReceiveGossip(time.Hour, i, GossipMessage{SentAt: time.Hour, RequestRate: others, Responses: 20, Congestion: 0.1})
 		}
@@ -77,19 +77,19 @@
 }
 
 // What is told is what came since the last time; with nothing to tell it stays mostly silent.
-func TestTellsWhatCameSinceTheLastTime(t *testing.T) {
-	b, h := start(t, newsConfig(), ready(1, 2))
+func TestBroadcastCoversTimeSinceTheLast(t *testing.T) {
+	b, h := start(t, gossipConfig(), ready(1, 2))
 	now := time.Duration(0)
 	for ; now < 20*time.Second; now += 20 * ms {
 		b.TimerFired(now)
 	}
-	if n := len(h.tells); n == 0 || n > 8 {
+	if n := len(h.broadcasts); n == 0 || n > 8 {
 		t.Fatalf("told %d times in 20 s with nothing to tell", n)
 	}
-	h.tells = nil
+	h.broadcasts = nil
 	for i := range RequestID(10) {
-		ask(b, now, i, safeClass)
-		end(b, now+100*ms, i, 0, Succeeded)
+		submit(b, now, i, idempotentClass)
+		finish(b, now+100*ms, i, 0, Succeeded)
 		now += 200 * ms
 		b.TimerFired(now)
 	}
@@ -97,20 +97,20 @@
 		b.TimerFired(now)
 	}
 	answers, worst := 0.0, 0.0
-	for _, n := range h.tells {
+	for _, n := range h.broadcasts {
 		answers += n.Responses
 		worst = max(worst, n.Congestion)
 	}
 	if answers != 10 || math.Abs(worst-0.01) > 1e-9 {
 		t.Fatalf("told of %v answers, crowded %v; want each of 10 once, which took a tenth of the aim", answers, worst)
 	}
-	cfg := newsConfig()
+	cfg := gossipConfig()
 	cfg.CanGossip = false
 	b, h = start(t, cfg, ready(1, 2))
 	for now := time.Duration(0); now < 20*time.Second; now += 20 * ms {
 		b.TimerFired(now)
 	}
-	if len(h.tells) > 0 {
+	if len(h.broadcasts) > 0 {
 		t.Fatal("told where it may not")
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -8,85 +8,85 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that a test host was asked to start.
-type sent struct {
-	id      RequestID
-	to      EndpointID
-	timeout time.Duration
-	within  time.Duration
+// sentAttempt is one attempt that a test host was asked to start.
+type sentAttempt struct {
+	id           RequestID
+	to           EndpointID
+	timeout      time.Duration
+	writeTimeout time.Duration
 }
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	sends     []sent
-	refused   map[RequestID]time.Duration
-	failed    map[RequestID]bool
-	cancelled []RequestID
-	wakes     []time.Duration
-	probes    []EndpointID
-	closes    []EndpointID
-	asks      int
-	tells     []GossipMessage
-	log       []HealthEvent
-	trace     []string
+	sends        []sentAttempt
+	rejected     map[RequestID]time.Duration
+	failed       map[RequestID]bool
+	cancelled    []RequestID
+	timers       []time.Duration
+	healthChecks []EndpointID
+	idleCloses   []EndpointID
+	polls        int
+	broadcasts   []GossipMessage
+	log          []HealthEvent
+	trace        []string
 }
 
 func newFakeHost() *fakeHost {
-	return &fakeHost{refused: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
+	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
-func (h *fakeHost) note(format string, args ...any) {
+func (h *fakeHost) record(format string, args ...any) {
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
 func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.sends = append(h.sends, sent{id, to, timeout, within})
-	h.note("send %d %d %v", id, to, timeout)
+	h.sends = append(h.sends, sentAttempt{id, to, timeout, within})
+	h.record("send %d %d %v", id, to, timeout)
 }
 
 func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
-	h.refused[id] = pause
-	h.note("refuse %d %v", id, pause)
+	h.rejected[id] = pause
+	h.record("refuse %d %v", id, pause)
 }
 
 func (h *fakeHost) Fail(id RequestID) {
 	h.failed[id] = true
-	h.note("fail %d", id)
+	h.record("fail %d", id)
 }
 
 func (h *fakeHost) Cancel(id RequestID, attempt int) {
 	h.cancelled = append(h.cancelled, id)
-	h.note("cancel %d %d", id, attempt)
+	h.record("cancel %d %d", id, attempt)
 }
 
 func (h *fakeHost) SetTimer(d time.Duration) {
-	h.wakes = append(h.wakes, d)
-	h.note("wake %v", d)
+	h.timers = append(h.timers, d)
+	h.record("wake %v", d)
 }
 
 func (h *fakeHost) HealthCheck(to EndpointID) {
-	h.probes = append(h.probes, to)
-	h.note("probe %d", to)
+	h.healthChecks = append(h.healthChecks, to)
+	h.record("probe %d", to)
 }
 
 func (h *fakeHost) CloseIdle(to EndpointID) {
-	h.closes = append(h.closes, to)
-	h.note("close %d", to)
+	h.idleCloses = append(h.idleCloses, to)
+	h.record("close %d", to)
 }
 
 func (h *fakeHost) WatchEndpoints() {
-	h.asks++
-	h.note("watch")
+	h.polls++
+	h.record("watch")
 }
 
 func (h *fakeHost) Broadcast(n GossipMessage) {
-	h.tells = append(h.tells, n)
-	h.note("tell %+v", n)
+	h.broadcasts = append(h.broadcasts, n)
+	h.record("tell %+v", n)
 }
 
 func (h *fakeHost) Log(e HealthEvent) {
 	h.log = append(h.log, e)
-	h.note("log %s", e)
+	h.record("log %s", e)
 }
 
 // sentTo counts the attempts sent to a server.
@@ -113,11 +113,11 @@
 
 // The classes of testConfig.
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	keyedCell
-	unsafeClass
+	idempotentClass = iota
+	dedupEverywhereClass
+	dedupInZoneClass
+	dedupInCellClass
+	nonIdempotentClass
 )
 
 func testConfig() Config {
@@ -170,26 +170,26 @@
 	return b, h
 }
 
-// ask hands in a request of tenant 0.
-func ask(b *Balancer, now time.Duration, id RequestID, class int) {
+// submit hands in a request of tenant 0.
+func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
-// end ends an attempt of a request.
-func end(b *Balancer, now time.Duration, id RequestID, attempt int, e Result) {
+// finish ends an attempt of a request.
+func finish(b *Balancer, now time.Duration, id RequestID, attempt int, e Result) {
 	b.Outcome(now, Outcome{RequestID: id, Attempt: attempt, Result: e, Answered: e == Succeeded})
 }
 
-// forgetAsked has admission begin anew, where a test is not about it.
-func forgetAsked(b *Balancer) {
+// resetAdmission has admission begin anew, where a test is not about it.
+func resetAdmission(b *Balancer) {
 	for i := range b.admission.demand {
 		d := &b.admission.demand[i]
 		d.offered, d.goodput = 0, 0
 	}
 }
 
-// sizeConfig is like the settings of the days at size.
-func sizeConfig(balancers int) Config {
+// largeFleetConfig is like the settings of the days at size.
+func largeFleetConfig(balancers int) Config {
 	class := func(worth float64, e Idempotency) Class {
 		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
 	}
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// inOrder is a config with one class whose keys go in turn.
-func inOrder(settle time.Duration) Config {
+// orderedConfig is a config with one class whose keys go in turn.
+func orderedConfig(settle time.Duration) Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
 	cfg.Classes[0].OrderedByKey, cfg.OrderingDelay, cfg.Slots = true, settle, 20
@@ -15,40 +15,40 @@
 }
 
 // Rule 5: one at a time for a key, in order of arrival; other keys and keyless requests go on.
-func TestRequestsOfOneKeyGoInTurn(t *testing.T) {
-	b, h := start(t, inOrder(100*ms), ready(1, 2, 3))
+func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
+	b, h := start(t, orderedConfig(100*ms), ready(1, 2, 3))
 	for id := range RequestID(3) {
 		b.Request(0, Request{ID: id, Key: 9, Timeout: 2 * time.Second})
 	}
 	b.Request(0, Request{ID: 3, Key: 8, Timeout: 2 * time.Second})
 	b.Request(0, Request{ID: 4, Timeout: 2 * time.Second})
-	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4}) {
+	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4}) {
 		t.Fatalf("sent %v, want the first of each key", got)
 	}
-	end(b, 10*ms, 0, 0, Rejected) // its own further try is not delayed, and nothing passes it
-	end(b, 20*ms, 0, 1, Succeeded)
-	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1}) {
+	finish(b, 10*ms, 0, 0, Rejected) // its own further try is not delayed, and nothing passes it
+	finish(b, 20*ms, 0, 1, Succeeded)
+	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1}) {
 		t.Fatalf("sent %v, want 0 again and then 1", got)
 	}
 	b.ClientDisconnected(30*ms, 1)
 	b.TimerFired(40 * ms)
-	if got := sentIDs(h); len(got) != 5 {
+	if got := sentRequestIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the attempt of 1 is still out", got)
 	}
-	end(b, 50*ms, 1, 0, Cancelled)
+	finish(b, 50*ms, 1, 0, Cancelled)
 	b.TimerFired(140 * ms)
-	if got := sentIDs(h); len(got) != 5 {
+	if got := sentRequestIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the cancelled attempt may still run", got)
 	}
 	b.TimerFired(160 * ms)
-	if got := sentIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1, 2}) {
+	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1, 2}) {
 		t.Fatalf("sent %v, want 2 once the key has rested", got)
 	}
 }
 
 // Guards against: what waits for its key holds up the queue behind it.
 func TestOneKeyDoesNotBlockOthers(t *testing.T) {
-	cfg := inOrder(0)
+	cfg := orderedConfig(0)
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
 	b, h := start(t, cfg, ready(1, 2))
 	for id := range RequestID(2) {
@@ -58,13 +58,13 @@
 		b.Request(0, Request{ID: id, Timeout: 2 * time.Second})
 	}
 	n := len(h.sends)
-	end(b, ms, h.sends[n-1].id, 0, Succeeded)
+	finish(b, ms, h.sends[n-1].id, 0, Succeeded)
 	if len(h.sends) != n+1 || h.sends[n].id == 1 {
 		t.Fatalf("sends %+v, want the one behind the key", h.sends[n:])
 	}
 }
 
-func sentIDs(h *fakeHost) (ids []RequestID) {
+func sentRequestIDs(h *fakeHost) (ids []RequestID) {
 	for _, s := range h.sends {
 		ids = append(ids, s.id)
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,19 +6,19 @@
 )
 
 // Guards against: a hung server keeps its turn and pins slots until time-out.
-func TestSilentServerLosesItsTurn(t *testing.T) {
+func TestUnresponsiveEndpointGetsFewAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	now := time.Duration(0)
 	for id := range RequestID(300) {
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		if last := h.sends[len(h.sends)-1]; last.id == id && last.to != 1 {
-			end(b, now+5*ms, id, 0, Succeeded)
+			finish(b, now+5*ms, id, 0, Succeeded)
 		}
 		now += 10 * ms
 		b.TimerFired(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
 			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
-				end(b, now, s.id, 0, TimedOut)
+				finish(b, now, s.id, 0, TimedOut)
 			}
 		}
 	}
@@ -32,19 +32,19 @@
 
 // Guards against a day with servers replaced all along: one turned everything away at once, so it never held
 // anything and had room by every measure, while the others were full: it drew most requests, three times each.
-func TestServerThatTurnsAllAwayIsLeftOut(t *testing.T) {
+func TestRejectingEndpointIsEjected(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	away, taken := 0, 0
 	for id := range RequestID(200) {
 		now := time.Duration(id) * 10 * ms
-		ask(b, now, id, safeClass)
+		submit(b, now, id, idempotentClass)
 		for n := 0; n < 3 && len(h.sends) > away+taken; n++ {
 			if h.sends[away+taken].to == 1 {
 				away++
-				end(b, now, id, n, Rejected)
+				finish(b, now, id, n, Rejected)
 			} else {
 				taken++
-				end(b, now, id, n, Succeeded)
+				finish(b, now, id, n, Succeeded)
 			}
 		}
 	}
@@ -53,8 +53,8 @@
 	}
 	for id := RequestID(300); id < 400; id++ {
 		now := 3*time.Second + time.Duration(id)*10*ms
-		ask(b, now, id, safeClass)
-		end(b, now, id, 0, Succeeded)
+		submit(b, now, id, idempotentClass)
+		finish(b, now, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1) - away; n < 4 {
 		t.Fatalf("%d of 100 to the server once it is well again", n)
@@ -62,7 +62,7 @@
 }
 
 // Guards against: a server that fails what it gets, for whatever reason, keeps its turns, or never gets them back.
-func TestStrainedServerLosesTurnsAndComesBack(t *testing.T) {
+func TestOutlierGetsFewAttemptsAndRecovers(t *testing.T) {
 	for _, ending := range []Result{ServerError, Rejected, ConnectFailed, ConnectionLost, TimedOut} {
 		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 		now, id := time.Duration(0), RequestID(0)
@@ -71,11 +71,11 @@
 			for range n {
 				now += 50 * ms
 				id++
-				forgetAsked(b) // admission is not at stake here
-				ask(b, now, id, unsafeClass)
+				resetAdmission(b) // admission is not at stake here
+				submit(b, now, id, nonIdempotentClass)
 				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
 					n := len(b.requests[id].attempts)
-					end(b, now+5*ms, id, n-1, map[bool]Result{true: bad, false: Succeeded}[h.sends[k-1].to == 1])
+					finish(b, now+5*ms, id, n-1, map[bool]Result{true: bad, false: Succeeded}[h.sends[k-1].to == 1])
 					if len(h.sends) == k {
 						break
 					}
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-func TestServersTakeTurnsByWeight(t *testing.T) {
+func TestRoundRobinFollowsWeights(t *testing.T) {
 	list := ready(1, 2, 3)
 	list[2].Weight = 2
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(40) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, Succeeded)
+		submit(b, now, id, idempotentClass)
+		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
 		t.Fatalf("turns %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
@@ -23,13 +23,13 @@
 	}
 }
 
-func TestZeroWeightsMeanEvenTurns(t *testing.T) {
+func TestUnusableWeightsCountEvenly(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, Succeeded)
+		submit(b, now, id, idempotentClass)
+		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
 		t.Fatalf("turns %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
@@ -37,15 +37,15 @@
 }
 
 // Guards against a zone with more traffic than its own servers can bear; crossing has a price, so near ones lead.
-func TestFarServersHaveFewerTurns(t *testing.T) {
+func TestCrossZoneEndpointsGetFewerAttempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
 	list := ready(1, 2, 3, 4)
 	list[2].Zone, list[3].Zone = 1, 1
 	b, h := start(t, cfg, list)
 	for id := range RequestID(300) {
-		ask(b, time.Duration(id)*20*ms, id, safeClass)
-		end(b, time.Duration(id)*20*ms+5*ms, id, 0, Succeeded)
+		submit(b, time.Duration(id)*20*ms, id, idempotentClass)
+		finish(b, time.Duration(id)*20*ms+5*ms, id, 0, Succeeded)
 	}
 	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().CrossZoneSends != uint64(far) {
 		t.Fatalf("%d of 300 sends crossed, %d counted; want a fifth", far, b.Counters().CrossZoneSends)
@@ -54,7 +54,7 @@
 
 // Guards against a thousand sidecars that all begin with the heaviest servers (grown toowoomba-hives, untouched:
 // the same servers unwell everywhere in 1.3 s): their first turns must spread by weight, each server's too.
-func TestFirstTurnsSpreadOverAFleet(t *testing.T) {
+func TestFirstAttemptsSpreadOverFleet(t *testing.T) {
 	const balancers, servers = 1200, 60
 	sent := map[EndpointID]int{}
 	cfg := testConfig()
@@ -66,7 +66,7 @@
 			list = append(list, Endpoint{ID: id * 7, State: Ready, Weight: 1 + 2*float64(id%2)})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
-		ask(b, 0, 1, safeClass)
+		submit(b, 0, 1, idempotentClass)
 		sent[h.sends[0].to]++
 	}
 	light, heavy, most := 0, 0, 0
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// drive runs a world; pick(n) chooses among n possibilities.
-func drive(t testing.TB, steps int, pick func(n int) int) []string {
+// runRandomEvents runs a world; pick(n) chooses among n possibilities.
+func runRandomEvents(t testing.TB, steps int, pick func(n int) int) []string {
 	cfg := testConfig()
 	cfg.PollsEndpoints, cfg.CanHealthCheck = true, true
 	cfg.ReportFields = []ReportFields{0, HasInFlight, HasInFlight | HasUtilization, HasUtilization | HasServiceTime}[pick(4)]
@@ -26,10 +26,10 @@
 	}
 	cfg.CrossZoneCost = float64(pick(2)) * 0.02
 	cfg.CanGossip = pick(2) == 0
-	w := &world{t: t, cfg: cfg, held: map[RequestID]*asked{}, listed: map[EndpointID]Endpoint{}, now: time.Hour}
-	w.colds = map[EndpointID][]time.Duration{}
-	w.calm = pick(2) == 0
-	w.rests, w.closing = map[uint64]time.Duration{}, map[EndpointID]time.Duration{}
+	w := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*trackedRequest{}, endpoints: map[EndpointID]Endpoint{}, now: time.Hour}
+	w.slowStartSends = map[EndpointID][]time.Duration{}
+	w.stableList = pick(2) == 0
+	w.blockedUntil, w.closeBy = map[uint64]time.Duration{}, map[EndpointID]time.Duration{}
 	b, err := New(cfg, uint64(pick(1000)), w)
 	if err != nil {
 		t.Fatal(err)
@@ -38,17 +38,17 @@
 	b.Start(w.now)
 	for range steps {
 		w.step(pick)
-		w.drains()
-		w.account()
+		w.checkIdleCloses()
+		w.checkSlots()
 	}
 	for range 600 { // everything left is answered in time
 		w.now += 5 * ms
 		w.timeouts()
 		b.TimerFired(w.now)
-		w.account()
-		w.drains()
+		w.checkSlots()
+		w.checkIdleCloses()
 	}
-	for id, a := range w.held {
+	for id, a := range w.requests {
 		if !a.answered {
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
@@ -59,7 +59,7 @@
 	return w.trace
 }
 
-func (w *world) step(pick func(int) int) {
+func (w *ruleChecker) step(pick func(int) int) {
 	w.now += time.Duration(pick(8)) * ms
 	if w.cfg.CanGossip && pick(4) == 0 { // true or false, it must not break a rule
 		figure := func() float64 {
@@ -75,72 +75,72 @@
 		q := Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
 		q.Timeout = time.Duration(1+pick(2000)) * ms
 		q.Key = uint64(pick(4))
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Timeout, turn: int(w.next)}
-		w.taken = append(w.taken, w.now)
+		w.requests[q.ID] = &trackedRequest{request: q, deadline: w.now + q.Timeout, number: int(w.next)}
+		w.requestTimes = append(w.requestTimes, w.now)
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
 	case 3, 4, 5:
-		w.finish(pick)
+		w.endRandomAttempt(pick)
 	case 6:
 		w.b.TimerFired(w.now)
 	case 7:
-		if !w.calm || len(w.listed) == 0 || pick(30) == 0 {
-			w.list(pick)
+		if !w.stableList || len(w.endpoints) == 0 || pick(30) == 0 {
+			w.updateEndpoints(pick)
 		}
 	case 8:
-		w.b.HealthChecked(w.now, EndpointID(pick(8)), pick(2) == 0, w.load(pick(200)))
+		w.b.HealthChecked(w.now, EndpointID(pick(8)), pick(2) == 0, w.loadReport(pick(200)))
 	case 9:
 		if len(w.order) > 0 {
-			if id := w.order[pick(len(w.order))]; !w.held[id].answered {
-				w.held[id].answered = true
+			if id := w.order[pick(len(w.order))]; !w.requests[id].answered {
+				w.requests[id].answered = true
 				w.b.ClientDisconnected(w.now, id)
 			}
 		}
 	}
 }
 
-// finish ends one attempt that is out.
-func (w *world) finish(pick func(int) int) {
+// endRandomAttempt ends one attempt that is out.
+func (w *ruleChecker) endRandomAttempt(pick func(int) int) {
 	for range 4 {
 		if len(w.order) == 0 {
 			return
 		}
 		id := w.order[pick(len(w.order))]
-		for i := range w.held[id].tries {
-			if w.held[id].tries[i].out {
-				w.end(id, i, []Result{Succeeded, ServerError, Rejected, ConnectFailed, ConnectionLost, Cancelled, NotSent}[pick(7)])
+		for i := range w.requests[id].attempts {
+			if w.requests[id].attempts[i].inFlight {
+				w.endAttempt(id, i, []Result{Succeeded, ServerError, Rejected, ConnectFailed, ConnectionLost, Cancelled, NotSent}[pick(7)])
 				return
 			}
 		}
 	}
 }
 
-func (w *world) end(id RequestID, i int, e Result) {
-	a := w.held[id]
-	a.tries[i].out, a.tries[i].end = false, e
+func (w *ruleChecker) endAttempt(id RequestID, i int, e Result) {
+	a := w.requests[id]
+	a.attempts[i].inFlight, a.attempts[i].result = false, e
 	settled := a.answered || e == Succeeded
 	a.answered = settled
-	if w.cfg.Classes[a.q.Class].OrderedByKey && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
-		w.rests[a.q.Key] = w.now + w.cfg.OrderingDelay
+	if w.cfg.Classes[a.request.Class].OrderedByKey && (e == TimedOut || e == ConnectionLost || e == Cancelled) {
+		w.blockedUntil[a.request.Key] = w.now + w.cfg.OrderingDelay
 	}
-	w.mustClose(a.tries[i].to.ID)
-	w.b.Outcome(w.now, Outcome{RequestID: id, Attempt: i, Result: e, Answered: settled, Report: w.load(int(id))})
+	w.expectIdleClose(a.attempts[i].endpoint.ID)
+	w.b.Outcome(w.now, Outcome{RequestID: id, Attempt: i, Result: e, Answered: settled, Report: w.loadReport(int(id))})
 }
 
 // timeouts ends the attempts whose request's deadline has come, and wakes the
 // Balancer as its timers would.
-func (w *world) timeouts() {
+func (w *ruleChecker) timeouts() {
 	w.b.TimerFired(w.now)
 	for _, id := range w.order {
-		for i := range w.held[id].tries {
-			if a := w.held[id]; a.tries[i].out && w.now >= a.deadline {
-				w.end(id, i, TimedOut)
+		for i := range w.requests[id].attempts {
+			if a := w.requests[id]; a.attempts[i].inFlight && w.now >= a.deadline {
+				w.endAttempt(id, i, TimedOut)
 			}
 		}
 	}
 }
 
-func (w *world) list(pick func(int) int) {
+func (w *ruleChecker) updateEndpoints(pick func(int) int) {
 	entry := func() Endpoint {
 		id := EndpointID(pick(8))
 		s := Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: EndpointState(pick(3)), Weight: float64(pick(4))}
@@ -156,9 +156,9 @@
 		return
 	}
 	var entries []Endpoint
-	before := maps.Clone(w.listed)
+	before := maps.Clone(w.endpoints)
 	if kind != DeltaUpdate {
-		clear(w.listed)
+		clear(w.endpoints)
 	}
 	for range pick(8) {
 		s := entry()
@@ -167,22 +167,22 @@
 		}
 		entries = append(entries, s)
 		if old, ok := before[s.ID]; !ok || s.StartedAt > old.StartedAt || old.State == Removed {
-			delete(w.colds, s.ID)
+			delete(w.slowStartSends, s.ID)
 		}
-		w.listed[s.ID] = s
+		w.endpoints[s.ID] = s
 	}
 	if kind != DeltaUpdate {
-		clear(w.closing)
+		clear(w.closeBy)
 	}
 	for _, s := range entries {
-		delete(w.closing, s.ID)
-		w.mustClose(s.ID)
+		delete(w.closeBy, s.ID)
+		w.expectIdleClose(s.ID)
 	}
 	w.b.UpdateEndpoints(w.now, kind, entries)
 }
 
-// load is a report of what the settings say that reports hold, now and then of nothing.
-func (w *world) load(n int) LoadReport {
+// loadReport is a report of what the settings say that reports hold, now and then of nothing.
+func (w *ruleChecker) loadReport(n int) LoadReport {
 	if n%3 == 0 {
 		return LoadReport{}
 	}
@@ -193,14 +193,14 @@
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		drive(t, 600, rng.IntN)
+		runRandomEvents(t, 600, rng.IntN)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		a := drive(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
-		b := drive(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
+		a := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
+		b := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: two runs over the same events differ", seed)
 		}
@@ -212,7 +212,7 @@
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		at := 0
-		drive(t, min(len(data)/2, 400), func(n int) int {
+		runRandomEvents(t, min(len(data)/2, 400), func(n int) int {
 			if len(data) == 0 {
 				return 0
 			}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// world drives a Balancer with legal events in arbitrary order and checks the
+// ruleChecker drives a Balancer with legal events in arbitrary order and checks the
 // rules at every action. It models no server timing: it picks what happens.
-type world struct {
-	t       testing.TB
-	cfg     Config
-	b       *Balancer
-	now     time.Duration
-	next    RequestID
-	held    map[RequestID]*asked
-	order   []RequestID // ids of held, in order, so that a run can be repeated
-	listed  map[EndpointID]Endpoint
-	trace   []string
-	watches int
-	taken   []time.Duration // requests, for the budget
-	more    []time.Duration // further attempts
-	calm    bool            // the list changes seldom
-	rests   map[uint64]time.Duration
-	colds   map[EndpointID][]time.Duration // sends to a server that is cold, since it was listed so
-	closing map[EndpointID]time.Duration   // when idle connections must be closed, by server
+type ruleChecker struct {
+	t              testing.TB
+	cfg            Config
+	b              *Balancer
+	now            time.Duration
+	next           RequestID
+	requests       map[RequestID]*trackedRequest
+	order          []RequestID // ids of held, in order, so that a run can be repeated
+	endpoints      map[EndpointID]Endpoint
+	trace          []string
+	watches        int
+	requestTimes   []time.Duration // requests, for the budget
+	retryTimes     []time.Duration // further attempts
+	stableList     bool            // the list changes seldom
+	blockedUntil   map[uint64]time.Duration
+	slowStartSends map[EndpointID][]time.Duration // sends to a server that is cold, since it was listed so
+	closeBy        map[EndpointID]time.Duration   // when idle connections must be closed, by server
 }
 
-// asked is what the world knows of one request.
-type asked struct {
-	q        Request
+// trackedRequest is what the world knows of one request.
+type trackedRequest struct {
+	request  Request
 	deadline time.Duration
-	tries    []tried
+	attempts []trackedAttempt
 	answered bool
-	turn     int // place among the requests taken
+	number   int // place among the requests taken
 }
 
-type tried struct {
-	to   Endpoint
-	sent time.Duration
-	end  Result
-	out  bool
+type trackedAttempt struct {
+	endpoint Endpoint
+	sentAt   time.Duration
+	result   Result
+	inFlight bool
 }
 
-func (a *asked) mayHaveRun() *tried {
-	for i := range a.tries {
-		if e := a.tries[i].end; a.tries[i].out || (e != Rejected && e != ConnectFailed && e != NotSent) {
-			return &a.tries[i]
+func (a *trackedRequest) firstEffective() *trackedAttempt {
+	for i := range a.attempts {
+		if e := a.attempts[i].result; a.attempts[i].inFlight || (e != Rejected && e != ConnectFailed && e != NotSent) {
+			return &a.attempts[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *ruleChecker) record(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
-	w.note("send %d %d %v", id, to, timeout)
-	a, s := w.held[id], w.listed[to]
+func (w *ruleChecker) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
+	w.record("send %d %d %v", id, to, timeout)
+	a, s := w.requests[id], w.endpoints[to]
 	switch {
 	case a == nil || a.answered:
 		w.t.Fatalf("rule 1: attempt for request %d, which is over", id)
@@ -67,35 +67,35 @@
 		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
 	case timeout <= 0 || w.now+timeout > a.deadline:
 		w.t.Fatalf("rule 1: time-out %v at %v runs past the deadline %v", timeout, w.now, a.deadline)
-	case len(a.tries) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("attempt %d of at most %d", len(a.tries)+1, w.cfg.MaxAttempts)
+	case len(a.attempts) >= w.cfg.MaxAttempts:
+		w.t.Fatalf("attempt %d of at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
 	}
-	class := w.cfg.Classes[a.q.Class]
-	if first := a.mayHaveRun(); first != nil {
+	class := w.cfg.Classes[a.request.Class]
+	if first := a.firstEffective(); first != nil {
 		switch {
 		case class.Idempotency == NonIdempotent:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Idempotency == IdempotentByKey && w.now-first.sent >= class.DedupWindow:
-			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sent)
-		case class.Idempotency == IdempotentByKey && class.DedupScope == DedupInZone && s.Zone != first.to.Zone,
-			class.Idempotency == IdempotentByKey && class.DedupScope == DedupInCell && s.Cell != first.to.Cell:
+		case class.Idempotency == IdempotentByKey && w.now-first.sentAt >= class.DedupWindow:
+			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sentAt)
+		case class.Idempotency == IdempotentByKey && class.DedupScope == DedupInZone && s.Zone != first.endpoint.Zone,
+			class.Idempotency == IdempotentByKey && class.DedupScope == DedupInCell && s.Cell != first.endpoint.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
-	w.order5(a)
-	w.cold(s)
-	if out := a.out(); out > 0 { // no setting that allows two is known to the module
+	w.checkKeyOrder(a)
+	w.checkSlowStart(s)
+	if out := a.inFlight(); out > 0 { // no setting that allows two is known to the module
 		w.t.Fatalf("rule 2: request %d sent while %d of its attempts are out", id, out)
 	}
-	if b := w.cfg.RetryBudget; len(a.tries) > 0 && b.Interval > 0 {
-		w.more = append(w.more, w.now)
+	if b := w.cfg.RetryBudget; len(a.attempts) > 0 && b.Interval > 0 {
+		w.retryTimes = append(w.retryTimes, w.now)
 		n, taken := 0, 0
-		for _, t := range w.more {
+		for _, t := range w.retryTimes {
 			if t >= w.now-b.Interval {
 				n++
 			}
 		}
-		for _, t := range w.taken {
+		for _, t := range w.requestTimes {
 			if t > w.now-b.Interval {
 				taken++
 			}
@@ -104,28 +104,28 @@
 			w.t.Fatalf("rule 6: %d further attempts in %v, in which %d requests were taken", n, b.Interval, taken)
 		}
 	}
-	a.tries = append(a.tries, tried{to: s, sent: w.now, out: true})
+	a.attempts = append(a.attempts, trackedAttempt{endpoint: s, sentAt: w.now, inFlight: true})
 }
 
-// out counts the attempts that are out.
-func (a *asked) out() (n int) {
-	for _, tr := range a.tries {
-		if tr.out {
+// inFlight counts the attempts that are out.
+func (a *trackedRequest) inFlight() (n int) {
+	for _, tr := range a.attempts {
+		if tr.inFlight {
 			n++
 		}
 	}
 	return n
 }
 
-// cold checks this balancer's part of a cold server's budget, of which it may have an even one at most.
-func (w *world) cold(s Endpoint) {
+// checkSlowStart checks this balancer's part of a cold server's budget, of which it may have an even one at most.
+func (w *ruleChecker) checkSlowStart(s Endpoint) {
 	age := w.now - s.StartedAt
 	if s.StartedAt == 0 || age >= w.cfg.SlowStartDuration {
 		return
 	}
-	w.colds[s.ID] = append(w.colds[s.ID], w.now)
+	w.slowStartSends[s.ID] = append(w.slowStartSends[s.ID], w.now)
 	n := 0
-	for _, at := range w.colds[s.ID] {
+	for _, at := range w.slowStartSends[s.ID] {
 		if at > w.now-time.Second {
 			n++
 		}
@@ -140,43 +140,43 @@
 	}
 }
 
-// order5 checks the order of a key at a send.
-func (w *world) order5(a *asked) {
-	ordered := func(o *asked) bool {
-		return w.cfg.Classes[o.q.Class].OrderedByKey && o.q.Key == a.q.Key && a.q.Key != 0
+// checkKeyOrder checks the order of a key at a send.
+func (w *ruleChecker) checkKeyOrder(a *trackedRequest) {
+	ordered := func(o *trackedRequest) bool {
+		return w.cfg.Classes[o.request.Class].OrderedByKey && o.request.Key == a.request.Key && a.request.Key != 0
 	}
 	if !ordered(a) {
 		return
 	}
-	for id, o := range w.held {
-		out := slices.ContainsFunc(o.tries, func(tr tried) bool { return tr.out })
-		if o != a && ordered(o) && o.turn < a.turn && (!o.answered || out) {
-			w.t.Fatalf("rule 5: request %d sent while %d of its key is not over", a.q.ID, id)
+	for id, o := range w.requests {
+		out := slices.ContainsFunc(o.attempts, func(tr trackedAttempt) bool { return tr.inFlight })
+		if o != a && ordered(o) && o.number < a.number && (!o.answered || out) {
+			w.t.Fatalf("rule 5: request %d sent while %d of its key is not over", a.request.ID, id)
 		}
 	}
-	if len(a.tries) == 0 && w.now < w.rests[a.q.Key] {
-		w.t.Fatalf("rule 5: request %d sent %v before its key has rested", a.q.ID, w.rests[a.q.Key]-w.now)
+	if len(a.attempts) == 0 && w.now < w.blockedUntil[a.request.Key] {
+		w.t.Fatalf("rule 5: request %d sent %v before its key has rested", a.request.ID, w.blockedUntil[a.request.Key]-w.now)
 	}
 }
 
-// drains checks and starts the times in which connections to draining servers are closed.
-func (w *world) drains() {
-	for id, until := range w.closing {
+// checkIdleCloses checks and starts the times in which connections to draining servers are closed.
+func (w *ruleChecker) checkIdleCloses() {
+	for id, until := range w.closeBy {
 		if w.now > until {
 			w.t.Fatalf("rule 7: connections to server %d not closed %v after their time", id, w.now-until)
 		}
 	}
 }
 
-// mustClose starts that time anew: an event at a server that drains.
-func (w *world) mustClose(id EndpointID) {
-	if w.cfg.DrainCloseTimeout > 0 && w.listed[id].State == Draining {
-		w.closing[id] = w.now + w.cfg.DrainCloseTimeout
+// expectIdleClose starts that time anew: an event at a server that drains.
+func (w *ruleChecker) expectIdleClose(id EndpointID) {
+	if w.cfg.DrainCloseTimeout > 0 && w.endpoints[id].State == Draining {
+		w.closeBy[id] = w.now + w.cfg.DrainCloseTimeout
 	}
 }
 
-func (w *world) answer(id RequestID) *asked {
-	a := w.held[id]
+func (w *ruleChecker) recordAnswer(id RequestID) *trackedRequest {
+	a := w.requests[id]
 	if a == nil || a.answered {
 		w.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
 	}
@@ -187,11 +187,11 @@
 	return a
 }
 
-func (w *world) Reject(id RequestID, pause time.Duration) {
-	w.note("refuse %d %v", id, pause)
-	a := w.answer(id)
-	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere) {
+func (w *ruleChecker) Reject(id RequestID, pause time.Duration) {
+	w.record("refuse %d %v", id, pause)
+	a := w.recordAnswer(id)
+	class := w.cfg.Classes[a.request.Class]
+	if a.firstEffective() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -199,23 +199,23 @@
 	}
 }
 
-func (w *world) Fail(id RequestID)                { w.note("fail %d", id); w.answer(id) }
-func (w *world) Cancel(id RequestID, attempt int) { w.note("cancel %d %d", id, attempt) }
-func (w *world) SetTimer(d time.Duration)         { w.note("wake %v", d) }
-func (w *world) HealthCheck(to EndpointID)        { w.note("probe %d", to) }
-func (w *world) Broadcast(n GossipMessage)        { w.note("tell %+v", n) }
-func (w *world) CloseIdle(to EndpointID)          { w.note("close %d", to); delete(w.closing, to) }
-func (w *world) WatchEndpoints()                  { w.note("watch"); w.watches++ }
-func (w *world) Log(e HealthEvent)                { w.note("log %s", e) }
-
-// account checks that no slot leaks and none goes below zero.
-func (w *world) account() {
+func (w *ruleChecker) Fail(id RequestID)                { w.record("fail %d", id); w.recordAnswer(id) }
+func (w *ruleChecker) Cancel(id RequestID, attempt int) { w.record("cancel %d %d", id, attempt) }
+func (w *ruleChecker) SetTimer(d time.Duration)         { w.record("wake %v", d) }
+func (w *ruleChecker) HealthCheck(to EndpointID)        { w.record("probe %d", to) }
+func (w *ruleChecker) Broadcast(n GossipMessage)        { w.record("tell %+v", n) }
+func (w *ruleChecker) CloseIdle(to EndpointID)          { w.record("close %d", to); delete(w.closeBy, to) }
+func (w *ruleChecker) WatchEndpoints()                  { w.record("watch"); w.watches++ }
+func (w *ruleChecker) Log(e HealthEvent)                { w.record("log %s", e) }
+
+// checkSlots checks that no slot leaks and none goes below zero.
+func (w *ruleChecker) checkSlots() {
 	used := make([]int, len(w.cfg.Tenants))
 	out := 0
-	for _, a := range w.held {
-		for _, tr := range a.tries {
-			if tr.out {
-				used[a.q.Tenant]++
+	for _, a := range w.requests {
+		for _, tr := range a.attempts {
+			if tr.inFlight {
+				used[a.request.Tenant]++
 				out++
 			}
 		}
@@ -235,10 +235,10 @@
 	}
 	if len(w.order) > 60 { // forget what is over
 		w.order = slices.DeleteFunc(w.order, func(id RequestID) bool {
-			a := w.held[id]
-			over := a.answered && !slices.ContainsFunc(a.tries, func(tr tried) bool { return tr.out })
+			a := w.requests[id]
+			over := a.answered && !slices.ContainsFunc(a.attempts, func(tr trackedAttempt) bool { return tr.inFlight })
 			if over {
-				delete(w.held, id)
+				delete(w.requests, id)
 			}
 			return over
 		})
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestColdServerIsSpared(t *testing.T) {
+func TestSlowStartOfRestartedEndpoint(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		cfg := testConfig()
 		cfg.Balancers = balancers
@@ -21,8 +21,8 @@
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.sentTo(1)
-			ask(b, now, id, safeClass)
-			end(b, now+ms, id, 0, Succeeded)
+			submit(b, now, id, idempotentClass)
+			finish(b, now+ms, id, 0, Succeeded)
 			id++
 			if h.sentTo(1) > before && now < 11*time.Second {
 				sends[true]++
@@ -41,7 +41,7 @@
 
 // Guards against rule 4 at the grown delta-rounds (big-1, big-2 untouched): hundreds of sidecars, each with a
 // first send free, push a restarted server over within a second of its listing.
-func TestManyBalancersSpareAColdServer(t *testing.T) {
+func TestSlowStartOverManyBalancers(t *testing.T) {
 	const balancers, servers = 400, 40
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
@@ -64,15 +64,15 @@
 			now := 10*time.Second + time.Duration(i)*10*ms
 			before := h.sentTo(5)
 			if i%10 == n%10 {
-				ask(b, now, RequestID(i), unsafeClass)
+				submit(b, now, RequestID(i), nonIdempotentClass)
 				if last := h.sends[len(h.sends)-1]; last.to != 5 {
-					end(b, now, last.id, 0, Succeeded)
+					finish(b, now, last.id, 0, Succeeded)
 				}
 			}
 			b.TimerFired(now)
 			if h.sentTo(5) > before {
 				times = append(times, now)
-				end(b, now, RequestID(i), 0, Succeeded)
+				finish(b, now, RequestID(i), 0, Succeeded)
 			}
 		}
 	}
@@ -95,53 +95,53 @@
 }
 
 // A server back from silence is taken for cold before the list tells.
-func TestServerBackFromSilenceIsSpared(t *testing.T) {
+func TestSlowStartAfterSilence(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, unsafeClass)
-	end(b, time.Second, 1, 0, TimedOut)
-	forgetAsked(b)
-	ask(b, 1100*ms, 2, unsafeClass)
-	end(b, 2100*ms, 2, 0, TimedOut)
-	forgetAsked(b)
-	ask(b, 3*time.Second, 3, unsafeClass)
-	end(b, 3100*ms, 3, 0, Succeeded)
+	submit(b, 0, 1, nonIdempotentClass)
+	finish(b, time.Second, 1, 0, TimedOut)
+	resetAdmission(b)
+	submit(b, 1100*ms, 2, nonIdempotentClass)
+	finish(b, 2100*ms, 2, 0, TimedOut)
+	resetAdmission(b)
+	submit(b, 3*time.Second, 3, nonIdempotentClass)
+	finish(b, 3100*ms, 3, 0, Succeeded)
 	if b.endpoints.find(1).slowStartUntil != 3100*ms+8*time.Second || len(h.log) == 0 {
 		t.Fatalf("cold until %v, log %v", b.endpoints.find(1).slowStartUntil, h.log)
 	}
 }
 
-// coldFleet plays balancers that send to the same servers, some of which have just started, and counts what all of
+// slowStartFleet plays balancers that send to the same servers, some of which have just started, and counts what all of
 // them together send to each of these. Attempts end well after coldAnswer, but those that fail.
-type coldFleet struct {
-	processes, warm, cold int
-	load                  float64 // what is asked, as a share of the quotas
-	spread                float64 // standard deviation of the logarithm of the balancers' shares of it; 0: even ones
-	fails                 float64 // share of attempts at warm servers that are turned away, to be sent again
-	unknown               bool    // no tenants, so no quotas tell what servers can do
-	restarted             bool    // all balancers begin anew when the servers have started, with a list that names them
+type slowStartFleet struct {
+	balancers, established, starting int
+	load                             float64 // what is asked, as a share of the quotas
+	trafficSpread                    float64 // standard deviation of the logarithm of the balancers' shares of it; 0: even ones
+	rejectedFraction                 float64 // share of attempts at warm servers that are turned away, to be sent again
+	unknownQuota                     bool    // no tenants, so no quotas tell what servers can do
+	balancersRestarted               bool    // all balancers begin anew when the servers have started, with a list that names them
 }
 
 const (
-	coldStep   = 5 * ms
-	coldAnswer = 30 * ms
-	coldWindow = 2 * time.Second // overload_for_ms
-	coldPerSec = 9.0             // requests a second that a warm server can do; quotas are 0.7 to 0.95 of all that
-	coldQuota  = 0.95
+	slowStartStep    = 5 * ms
+	slowStartLatency = 30 * ms
+	overloadWindow   = 2 * time.Second // overload_for_ms
+	endpointCapacity = 9.0             // requests a second that a warm server can do; quotas are 0.7 to 0.95 of all that
+	quotaFraction    = 0.95
 )
 
-// worst returns the most that a cold server got in any window, as a share of what it bears: its budget and what is put
+// maxOverload returns the most that a cold server got in any window, as a share of what it bears: its budget and what is put
 // down to chance. Above 1 it falls. The budget is that of the window's beginning, when the server is coldest.
-func (f coldFleet) worst(t *testing.T, seed uint64) (worst float64, further int) {
+func (f slowStartFleet) maxOverload(t *testing.T, seed uint64) (worst float64, further int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
-	all := f.warm + f.cold
-	cfg := sizeConfig(f.processes)
+	all := f.established + f.starting
+	cfg := largeFleetConfig(f.balancers)
 	cfg.PollsEndpoints, cfg.CrossZoneCost = false, 0
-	total := coldQuota * coldPerSec * float64(all)
+	total := quotaFraction * endpointCapacity * float64(all)
 	for i := range cfg.Tenants {
 		cfg.Tenants[i].Quota = cfg.Tenants[i].Weight * total
 	}
-	if f.unknown {
+	if f.unknownQuota {
 		cfg.Tenants = nil
 	}
 	started := 10 * time.Second // on the balancers' clock
@@ -151,14 +151,14 @@
 		list = append(list, s)
 	}
 	isCold := map[EndpointID]int{}
-	fresh := slices.Clone(list[:f.cold])
+	fresh := slices.Clone(list[:f.starting])
 	for i := range fresh {
 		fresh[i].StartedAt = started
 		isCold[fresh[i].ID] = i
 	}
-	rates, sum := make([]float64, f.processes), 0.0
+	rates, sum := make([]float64, f.balancers), 0.0
 	for i := range rates {
-		rates[i] = math.Exp(f.spread * rng.NormFloat64())
+		rates[i] = math.Exp(f.trafficSpread * rng.NormFloat64())
 		sum += rates[i]
 	}
 	type process struct {
@@ -168,10 +168,10 @@
 	}
 	var processes []*process
 	begin := started - 4*time.Second
-	if f.restarted {
+	if f.balancersRestarted {
 		begin = started + 200*ms
 	}
-	for i := range f.processes {
+	for i := range f.balancers {
 		cfg.Index = i
 		h := newFakeHost()
 		b, err := New(cfg, seed<<20+uint64(i), h)
@@ -179,10 +179,10 @@
 			t.Fatal(err)
 		}
 		b.Start(begin)
-		if f.restarted {
-			b.UpdateEndpoints(begin, CachedUpdate, append(slices.Clone(fresh), list[f.cold:]...))
+		if f.balancersRestarted {
+			b.UpdateEndpoints(begin, CachedUpdate, append(slices.Clone(fresh), list[f.starting:]...))
 		} else {
-			b.UpdateEndpoints(begin, CachedUpdate, list[f.cold:])
+			b.UpdateEndpoints(begin, CachedUpdate, list[f.starting:])
 		}
 		processes = append(processes, &process{b: b, h: h})
 	}
@@ -195,11 +195,11 @@
 	}
 	var endings []ending
 	attempts := map[RequestID]int{}
-	arrived := make([][]time.Duration, f.cold)
+	arrived := make([][]time.Duration, f.starting)
 	id := RequestID(0)
 	told := false
-	for now := begin; now < started+cfg.SlowStartDuration; now += coldStep {
-		if !f.restarted && !told && now >= started+300*ms {
+	for now := begin; now < started+cfg.SlowStartDuration; now += slowStartStep {
+		if !f.balancersRestarted && !told && now >= started+300*ms {
 			told = true
 			for _, p := range processes {
 				p.b.UpdateEndpoints(now, DeltaUpdate, fresh)
@@ -208,16 +208,16 @@
 		for len(endings) > 0 && endings[0].at <= now {
 			e := endings[0]
 			endings = endings[1:]
-			end(e.p.b, now, e.id, e.n, e.ends)
+			finish(e.p.b, now, e.id, e.n, e.ends)
 		}
 		for i, p := range processes {
-			want := total * f.load * rates[i] / sum * coldStep.Seconds()
+			want := total * f.load * rates[i] / sum * slowStartStep.Seconds()
 			for want > 0 && rng.Float64() < want {
 				want--
 				p.b.Request(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(3), Timeout: 2 * time.Second})
 				id++
 			}
-			if (now/coldStep+time.Duration(i))%4 == 0 {
+			if (now/slowStartStep+time.Duration(i))%4 == 0 {
 				p.b.TimerFired(now)
 			}
 		}
@@ -227,14 +227,14 @@
 				n := attempts[s.id]
 				attempts[s.id]++
 				c, cold := isCold[s.to]
-				e := ending{now + coldAnswer, p, s.id, n, Succeeded}
+				e := ending{now + slowStartLatency, p, s.id, n, Succeeded}
 				if cold {
 					arrived[c] = append(arrived[c], now)
 					if n > 0 {
 						further++
 					}
-				} else if rng.Float64() < f.fails {
-					e.at, e.ends = now+coldStep, Rejected
+				} else if rng.Float64() < f.rejectedFraction {
+					e.at, e.ends = now+slowStartStep, Rejected
 				}
 				at, _ := slices.BinarySearchFunc(endings, e.at+1, func(x ending, at time.Duration) int { return int(x.at - at) })
 				endings = slices.Insert(endings, at, e)
@@ -243,11 +243,11 @@
 	}
 	for _, times := range arrived {
 		for first, last := 0, 0; first < len(times); first++ {
-			for last < len(times) && times[last] < times[first]+coldWindow {
+			for last < len(times) && times[last] < times[first]+overloadWindow {
 				last++
 			}
 			age := float64(times[first]-started) / float64(cfg.SlowStartDuration)
-			n := cfg.OverloadFactor * coldPerSec * coldWindow.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*age)
+			n := cfg.OverloadFactor * endpointCapacity * overloadWindow.Seconds() * (cfg.SlowStartFraction + (1-cfg.SlowStartFraction)*age)
 			worst = max(worst, float64(last-first)/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -257,28 +257,28 @@
 // A cold server falls under the sum of what all balancers send it, so the ramp of each has to hold for all: with
 // few and with many, with even and uneven traffic, in a fleet that has just been restarted and has heard no news
 // yet, and with further attempts as well as first ones.
-func TestColdServersHoldUnderTheSumOfAll(t *testing.T) {
+func TestSlowStartOverFleet(t *testing.T) {
 	for _, processes := range []int{2, 20, 30, 300} {
-		for _, f := range []coldFleet{
-			{warm: 26, cold: 4, load: 1.2},
-			{warm: 26, cold: 4, load: 1.5, spread: 1.5},
-			{warm: 15, cold: 15, load: 1, spread: 1},
-			{warm: 26, cold: 4, load: 1, spread: 1, restarted: true},
-			{warm: 10, cold: 20, load: 1.2, spread: 1, restarted: true},
-			{warm: 20, cold: 10, load: 1, spread: 1, fails: 0.3},
-			{warm: 180, cold: 20, load: 1.2, spread: 1},
-			{warm: 27, cold: 3, load: 2, spread: 1.5, fails: 0.9},
-			{warm: 27, cold: 3, load: 2, spread: 1.5, fails: 0.9, restarted: true},
-			{warm: 27, cold: 3, load: 2, fails: 0.9},
-			{warm: 26, cold: 4, load: 1, spread: 1, unknown: true},
-			{warm: 27, cold: 3, load: 1, spread: 1, fails: 0.3, unknown: true},
-			{warm: 10, cold: 20, load: 1, spread: 1, fails: 0.3, unknown: true, restarted: true},
+		for _, f := range []slowStartFleet{
+			{established: 26, starting: 4, load: 1.2},
+			{established: 26, starting: 4, load: 1.5, trafficSpread: 1.5},
+			{established: 15, starting: 15, load: 1, trafficSpread: 1},
+			{established: 26, starting: 4, load: 1, trafficSpread: 1, balancersRestarted: true},
+			{established: 10, starting: 20, load: 1.2, trafficSpread: 1, balancersRestarted: true},
+			{established: 20, starting: 10, load: 1, trafficSpread: 1, rejectedFraction: 0.3},
+			{established: 180, starting: 20, load: 1.2, trafficSpread: 1},
+			{established: 27, starting: 3, load: 2, trafficSpread: 1.5, rejectedFraction: 0.9},
+			{established: 27, starting: 3, load: 2, trafficSpread: 1.5, rejectedFraction: 0.9, balancersRestarted: true},
+			{established: 27, starting: 3, load: 2, rejectedFraction: 0.9},
+			{established: 26, starting: 4, load: 1, trafficSpread: 1, unknownQuota: true},
+			{established: 27, starting: 3, load: 1, trafficSpread: 1, rejectedFraction: 0.3, unknownQuota: true},
+			{established: 10, starting: 20, load: 1, trafficSpread: 1, rejectedFraction: 0.3, unknownQuota: true, balancersRestarted: true},
 		} {
-			f.processes = processes
+			f.balancers = processes
 			t.Run(fmt.Sprintf("%+v", f), func(t *testing.T) {
 				top, more := math.Inf(-1), 0
 				for seed := range uint64(1 + 60/(processes+20)) { // fewer of the large: there each is a mean already
-					worst, further := f.worst(t, seed)
+					worst, further := f.maxOverload(t, seed)
 					top, more = max(top, worst), more+further
 				}
 				t.Logf("worst %.2f, further %d", top, more)
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-func TestAsksForTheListAndAgain(t *testing.T) {
+func TestPollsUntilNotified(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
 	b, h := start(t, cfg, ready(1))
-	if h.asks != 1 {
-		t.Fatalf("asked %d times at the start", h.asks)
+	if h.polls != 1 {
+		t.Fatalf("asked %d times at the start", h.polls)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
 	b.UpdateEndpoints(0, UpdateFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.TimerFired(now)
-		if h.asks > asked {
-			asked = h.asks
+		if h.polls > asked {
+			asked = h.polls
 			gaps = append(gaps, now-last)
 			last = now
 			b.UpdateEndpoints(now, UpdateFailed, nil)
@@ -34,12 +34,12 @@
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
-	if h.asks != asked {
+	if h.polls != asked {
 		t.Fatal("asks again though it is subscribed")
 	}
 }
 
-func TestUnansweredCallIsRepeated(t *testing.T) {
+func TestUnansweredPollIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
 	h := newFakeHost()
@@ -48,13 +48,13 @@
 	for now := time.Duration(0); now < cfg.PollInterval; now += 50 * ms {
 		b.TimerFired(now)
 	}
-	if h.asks < 2 {
+	if h.polls < 2 {
 		t.Fatal("silence of the list service would have counted as being told")
 	}
 }
 
 // Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
-func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
+func TestUnansweredPollIsRepeatedWithoutPollInterval(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints, cfg.PollInterval = true, 0
 	h := newFakeHost()
@@ -63,7 +63,7 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		b.TimerFired(now)
 	}
-	if h.asks != 3 {
-		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
+	if h.polls != 3 {
+		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.polls)
 	}
 }
