--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -1,62 +1,73 @@
 package policy
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"time"
 )
 
+// A tenant that floods the balancer must not take the slots of another one. Its own surplus is rejected at once with a
+// Retry-After, or clients would wait in vain; a slot that becomes free goes to the request that waited first.
 func TestBulkheadSlotsAndQueue(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and a queue of 1
 	if b.FreeSlots(0) != 6 || b.FreeSlots(1) != 2 || b.FreeQueue(0) != 1 || b.FreeQueue(1) != 1 {
-		t.Fatalf("walls: slots %d %d, places %d %d", b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(0), b.FreeQueue(1))
+		t.Fatalf("free slots %d and %d, free queue places %d and %d; want 6 and 2, 1 and 1",
+			b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(0), b.FreeQueue(1))
 	}
 	for id := range RequestID(10) {
 		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 || b.FreeQueue(0) != 0 {
-		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.FreeQueue(0))
+		t.Fatalf("%d sent, %d queue places free; want 6 and 0", len(h.sends), b.FreeQueue(0))
 	}
-	if pause, ok := h.rejected[9]; !ok || pause <= 0 || pause > time.Second {
-		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with advice", ok, pause)
+	if retryAfter, ok := h.rejected[9]; !ok || retryAfter <= 0 || retryAfter > time.Second {
+		t.Fatalf("tenth request rejected: %v, with Retry-After %v; want a rejection at once, within a second", ok, retryAfter)
 	}
 	if b.FreeSlots(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
 	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, Timeout: 2 * time.Second})
 	if len(h.sends) != 7 {
-		t.Fatalf("the other compartment did not send past the full one")
+		t.Fatalf("the bulkhead of tenant 1 did not send while that of tenant 0 was full")
 	}
 	finish(b, 50*ms, 0, 0, Succeeded)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
-		t.Fatalf("a freed slot did not go to the first in the queue: %v", h.sends)
+		t.Fatalf("sends %v: the free slot did not go to the first request in the queue", h.sends)
 	}
 }
 
+// Where operators set no slots, a balancer derives them from the quotas. Too many would let the fleet overload the
+// endpoints, and fewer than one for a tenant would lock it out.
 func TestSlotsDerivedFromQuotas(t *testing.T) {
-	cfg := testConfig()
-	cfg.Slots = 0
 	for _, balancers := range []int{1, 4, 64} {
-		cfg.Balancers = balancers
-		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
-		if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.bulkheads.slots, whole)
-		}
-		if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
-			t.Errorf("%d balancers: compartments %d and %d", balancers, b.FreeSlots(0), b.FreeSlots(1))
+		t.Run(fmt.Sprintf("balancers=%d", balancers), func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Slots, cfg.Balancers = 0, balancers
+			b, _ := start(t, cfg, ready(1))
+			fleet := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
+			if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > fleet {
+				t.Errorf("%d slots, want 2 to %.0f", b.bulkheads.slots, fleet)
+			}
+			if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
+				t.Errorf("slots of the tenants %d and %d, queue of the second %d; want more for the first and a queue",
+					b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(1))
+			}
+		})
+	}
+	t.Run("no tenants", func(t *testing.T) { // and so no quota: one bulkhead, sized by the first endpoint list
+		cfg := testConfig()
+		cfg.Slots, cfg.Tenants, cfg.Balancers = 0, nil, 4
+		b, h := start(t, cfg, ready(1, 2))
+		b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
+		if len(b.bulkheads.all) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
+			t.Fatalf("%d bulkheads, %d slots, %d sends; want 1, 7 and 1", len(b.bulkheads.all), b.bulkheads.slots, len(h.sends))
 		}
-	}
-	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
-	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
-	if len(b.bulkheads.all) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.bulkheads.all), b.bulkheads.slots, len(h.sends))
-	}
+	})
 }
 
-// Guards against a worthy request refused because less worthy ones wait: it takes the place of the least
-// worthy, which hears so at once, and has the next free slot.
+// A request of high priority was rejected because the queue was full of requests of low priority. It has to take the
+// place of the last of these, whose client is told at once, and the next free slot.
 func TestHigherPriorityEvictsFromFullQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
@@ -67,16 +78,16 @@
 	submit(b, 0, 2, 0)
 	submit(b, 0, 3, 0) // the queue is full
 	submit(b, 0, 4, 1)
-	if _, refused := h.rejected[3]; !refused || len(h.rejected) != 1 {
-		t.Fatalf("refused %v, want the last of the less worthy", h.rejected)
+	if _, rejected := h.rejected[3]; !rejected || len(h.rejected) != 1 {
+		t.Fatalf("rejected %v, want the last request of low priority, 3", h.rejected)
 	}
 	submit(b, 0, 5, 0)
-	if _, refused := h.rejected[5]; !refused {
-		t.Fatal("one of little worth was let into a full queue")
+	if _, rejected := h.rejected[5]; !rejected {
+		t.Fatal("a request of low priority was let into a full queue")
 	}
 	finish(b, 10*ms, 1, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 4 {
-		t.Fatalf("request %d has the free slot, want the worthiest, 4", last.id)
+		t.Fatalf("request %d has the free slot, want that of the highest priority, 4", last.id)
 	}
 	finish(b, 20*ms, 4, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 2 {
@@ -84,31 +95,33 @@
 	}
 }
 
+// While no endpoint is known, a request waits in the queue, but not for so long that its client learns nothing before
+// its latency objective.
 func TestQueuedRequestIsRejectedBeforeItsObjective(t *testing.T) {
-	b, h := start(t, testConfig(), nil) // no server at all: held, then refused in time
+	b, h := start(t, testConfig(), nil)
 	submit(b, 0, 1, nonIdempotentClass)
 	if len(h.rejected) != 0 {
-		t.Fatal("refused at once, though the queue has room")
+		t.Fatal("rejected at once, though the queue has capacity")
 	}
 	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
 	if _, ok := h.rejected[1]; !ok {
-		t.Fatal("still held when its aim had passed")
+		t.Fatal("still queued when its latency objective had passed")
 	}
 }
 
-// Guards against sent after its wait with about the usual time left,
-// every other request times out at servers that have lost capacity.
+// Where endpoints had lost capacity, requests were sent after their wait with just about the usual latency remaining.
+// Every other one timed out, and the endpoints' work was wasted. So a wait ends while a response can still come in time.
 func TestQueuedRequestIsRejectedWhenTooLateToStart(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
-	submit(b, 0, 1, idempotentClass) // an aim of 1 s, answers usually take 125 ms
+	submit(b, 0, 1, idempotentClass) // a latency objective of 1 s, a usual latency of 125 ms
 	b.TimerFired(740 * ms)
 	if len(h.rejected) != 0 {
-		t.Fatal("refused with over twice the usual time left")
+		t.Fatal("rejected with over twice the usual latency remaining")
 	}
 	b.UpdateEndpoints(760*ms, FullUpdate, ready(1))
-	if _, refused := h.rejected[1]; !refused {
-		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
+	if _, rejected := h.rejected[1]; !rejected {
+		t.Fatalf("sent %v after a wait, with less than twice the usual latency remaining", h.sends)
 	}
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -5,54 +5,60 @@
 	"time"
 )
 
-// Guards against: servers that answer late, slow themselves
-// or crowded by others, keep an even part of the attempts.
+// Endpoints that respond late, because they are slow or others overload them, got as many attempts at a time as the
+// others. Their limit has to shrink with their own congestion.
 func TestEndpointLimitFollowsCongestion(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
 	for range 50 {
 		b.endpoints.find(1).congestion += (0.8*0.8 - b.endpoints.find(1).congestion) / 8
 	}
-	if slow, well := b.endpointLimit(b.endpoints.find(1)), b.endpointLimit(b.endpoints.find(2)); slow != 1 || well != 4 {
-		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
+	slow, well := b.endpointLimit(b.endpoints.find(1)), b.endpointLimit(b.endpoints.find(2))
+	if slow != 1 || well != 4 {
+		t.Fatalf("limits %v of the slow endpoint and %v of the other, want 1 and 4", slow, well)
 	}
 }
 
-// Guards against: one attempt each from many balancers chokes small servers,
-// and balancers of few slots refuse too much while servers are a bit crowded.
+// One attempt each of many balancers is enough to overload small endpoints, so under congestion of all endpoints the
+// whole balancer has to send less. A balancer of few slots must not reject requests for a little congestion, though.
 func TestConcurrencyLimitUnderCongestion(t *testing.T) {
-	cfg := testConfig()
-	cfg.Balancers = 1
-	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
-	for id := range RequestID(6) {
-		submit(b, 0, id, idempotentClass)
-	}
-	if len(h.sends) != 4 || b.Counters().ConcurrencyLimited != 2 {
-		t.Fatalf("%d attempts out of 8 slots, %d held, want 4 and 2 while every server is crowded",
-			len(h.sends), b.Counters().ConcurrencyLimited)
-	}
-	b, h = start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion.meanSquare = 0.13 // over the measure of a server, not yet over that of all
-	for id := range RequestID(6) {
-		submit(b, 0, id, idempotentClass)
-	}
-	if len(h.sends) != 6 {
-		t.Fatalf("%d attempts out of 6 slots, want all while servers are a bit crowded", len(h.sends))
+	for _, c := range []struct {
+		name       string
+		meanSquare float64
+		sends      int
+		limited    uint64
+	}{
+		{"latency of 0.6 objectives", 0.36, 4, 2},
+		{"over the threshold of an endpoint, below that of all", 0.13, 6, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Balancers = 1
+			b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
+			b.congestion.meanSquare = c.meanSquare
+			for id := range RequestID(6) {
+				submit(b, 0, id, idempotentClass)
+			}
+			if len(h.sends) != c.sends || b.Counters().ConcurrencyLimited != c.limited {
+				t.Fatalf("%d attempts in 8 slots, %d limited; want %d and %d",
+					len(h.sends), b.Counters().ConcurrencyLimited, c.sends, c.limited)
+			}
+		})
 	}
 }
 
-// What the wall holds back for a client that leaves is not sent when the wall opens: not even its place is used.
+// A client disconnects while the concurrency limit has its request wait. It must not be sent when the limit rises
+// again: the response would be of no use to anybody.
 func TestClientDisconnectsWhileConcurrencyLimited(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 1
 	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	b.congestion.meanSquare = 0.36 // answers take 0.6 of the aim
+	b.congestion.meanSquare = 0.36 // latencies of 0.6 objectives
 	for id := range RequestID(6) {
 		submit(b, 0, id, idempotentClass)
 	}
-	sends, held := len(h.sends), b.Counters().ConcurrencyLimited
-	if held == 0 {
-		t.Fatal("nothing was held back")
+	sends := len(h.sends)
+	if b.Counters().ConcurrencyLimited == 0 {
+		t.Fatal("the concurrency limit had no request wait")
 	}
 	for id := range RequestID(6) {
 		if h.sentFor(id) == 0 {
@@ -67,64 +73,75 @@
 	}
 	b.TimerFired(200 * ms)
 	if len(h.sends) != sends || len(b.requests) != 0 {
-		t.Errorf("%d sends after the clients left, %d requests kept", len(h.sends)-sends, len(b.requests))
+		t.Errorf("%d sends after the clients disconnected, %d requests remain; want none", len(h.sends)-sends, len(b.requests))
 	}
 }
 
-// Guards against a measure made for one deployment: where answers take half of the aim on servers that nobody
-// crowds, that share is no reason to hold requests back. Where it is many times what they take at the least, it is.
+// The threshold of congestion was made for one deployment. In another, responses took half of the latency objective on
+// idle endpoints, and requests were held back without a reason. A latency counts as congestion only where it is many
+// times the lowest one.
 func TestUnloadedLatencyIsNoCongestion(t *testing.T) {
-	cfg := testConfig()
-	cfg.Balancers = 1
-	aim := cfg.Classes[idempotentClass].LatencyObjective
+	objective := testConfig().Classes[idempotentClass].LatencyObjective
 	for _, c := range []struct {
-		name        string
-		least, took time.Duration
-		want        int
+		name              string
+		unloaded, current time.Duration
+		sends             int
 	}{
-		{"long work", aim * 27 / 50, aim * 27 / 50, 6},
-		{"a crowd", aim / 9, aim * 2 / 3, 4},
+		{"long work", objective * 27 / 50, objective * 27 / 50, 6},
+		{"congestion", objective / 9, objective * 2 / 3, 4},
 	} {
-		b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-		now := time.Duration(0)
-		answer := func(id RequestID, took time.Duration) {
-			submit(b, now, id, idempotentClass)
-			now += took
-			finish(b, now, id, 0, Succeeded)
-		}
-		for id := range RequestID(20) {
-			answer(100+id, c.least)
-		}
-		for id := range RequestID(40) {
-			answer(200+id, c.took)
-		}
-		before := len(h.sends)
-		for id := range RequestID(6) {
-			submit(b, now, id, idempotentClass)
-		}
-		if sent := len(h.sends) - before; sent != c.want {
-			t.Errorf("%s: %d of 6 requests sent, want %d", c.name, sent, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Balancers = 1
+			b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
+			now := time.Duration(0)
+			respond := func(id RequestID, latency time.Duration) {
+				submit(b, now, id, idempotentClass)
+				now += latency
+				finish(b, now, id, 0, Succeeded)
+			}
+			for id := range RequestID(20) {
+				respond(100+id, c.unloaded)
+			}
+			for id := range RequestID(40) {
+				respond(200+id, c.current)
+			}
+			before := len(h.sends)
+			for id := range RequestID(6) {
+				submit(b, now, id, idempotentClass)
+			}
+			if sends := len(h.sends) - before; sends != c.sends {
+				t.Errorf("%d of 6 requests sent, want %d", sends, c.sends)
+			}
+		})
 	}
 }
 
-// Guards against a zone cut off (a fresh day of delta-rounds): time-outs of servers known to be strained hold back
-// requests for all others.
+// When a zone was cut off, the timeouts of its endpoints, outliers by then, lowered the concurrency limit, and requests
+// for all other endpoints had to wait. Only timeouts of endpoints that were well before tell of congestion.
 func TestTimeoutsOfOutliersAreNoCongestion(t *testing.T) {
-	for _, strained := range []bool{false, true} {
-		b, _ := start(t, testConfig(), ready(1))
-		if strained {
-			b.endpoints.find(1).relativeLatency = failureLatency
-		}
-		submit(b, 0, 1, nonIdempotentClass)
-		finish(b, time.Second, 1, 0, TimedOut)
-		if crowd := b.congestion.meanSquare > 0; crowd == strained {
-			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
-		}
+	for _, c := range []struct {
+		name            string
+		relativeLatency float64
+		congested       bool
+	}{
+		{"endpoint that was well", 1, true},
+		{"outlier", failureLatency, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, _ := start(t, testConfig(), ready(1))
+			b.endpoints.find(1).relativeLatency = c.relativeLatency
+			submit(b, 0, 1, nonIdempotentClass)
+			finish(b, time.Second, 1, 0, TimedOut)
+			if congested := b.congestion.meanSquare > 0; congested != c.congested {
+				t.Errorf("a timeout counts as congestion: %v, want %v", congested, c.congested)
+			}
+		})
 	}
 }
 
-// Guards against a fleet shrinks, and what is left is handed the portions of what went.
+// Endpoints leave or fail one after the other. If those that remain took over their parts of the slots, each would be
+// overloaded in turn.
 func TestEndpointLimitDoesNotGrowWithRemovals(t *testing.T) {
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
@@ -135,11 +152,11 @@
 		submit(b, ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 2 {
-		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
+		t.Fatalf("%d of 8 slots used at the last of four endpoints, want its part of 2", h.sentTo(1))
 	}
-	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
+	// At the quotas, all balancers have 100/s x 1 s x 0.12 = 12 attempts in flight, a fourth of it at one endpoint.
 	b.HealthChecked(2*ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 5})
 	if !b.reportsFull(2*ms, &request{}, b.endpoints.find(1)) {
-		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
+		t.Fatal("the last of four endpoints is not full at more than a fourth of the fleet's attempts and the headroom")
 	}
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -1,33 +1,45 @@
 package policy
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
 )
 
+// Operators fix a setting that cannot be used only if the error says which one it is.
 func TestNewNamesTheUnusableField(t *testing.T) {
-	for field, spoil := range map[string]func(*Config){
-		"Balancers":         func(c *Config) { c.Balancers = 0 },
-		"Classes":           func(c *Config) { c.Classes = nil },
-		"MaxAttempts":       func(c *Config) { c.MaxAttempts = 0 },
-		"Slots":             func(c *Config) { c.Slots = -1 },
-		"SlowStartFraction": func(c *Config) { c.SlowStartFraction = 1.5 },
-		"OverloadFactor":    func(c *Config) { c.OverloadFactor = math.Inf(1) },
-		"SlowStartDuration": func(c *Config) { c.SlowStartDuration = -1 },
-		"EventInterval":     func(c *Config) { c.EventInterval = -1 },
-		"LatencyObjective":  func(c *Config) { c.Classes[2].LatencyObjective = 0 },
-		"Deadline":          func(c *Config) { c.Classes[0].Deadline = -1 },
-		"LateValue":         func(c *Config) { c.Classes[0].LateValue = math.NaN() },
-		"Weight":            func(c *Config) { c.Tenants[1].Weight = -0.1 },
-		"Quota":             func(c *Config) { c.Tenants[1].Quota = math.NaN() },
-		"adds up to 0":      func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} },
-		"MaxRetryAfter":     func(c *Config) { c.MaxRetryAfter = -1 },
+	for _, c := range []struct {
+		field string // or a part of the message
+		spoil func(*Config)
+	}{
+		{"Balancers", func(c *Config) { c.Balancers = 0 }},
+		{"Classes", func(c *Config) { c.Classes = nil }},
+		{"MaxAttempts", func(c *Config) { c.MaxAttempts = 0 }},
+		{"Slots", func(c *Config) { c.Slots = -1 }},
+		{"SlowStartFraction", func(c *Config) { c.SlowStartFraction = 1.5 }},
+		{"OverloadFactor", func(c *Config) { c.OverloadFactor = math.Inf(1) }},
+		{"SlowStartDuration", func(c *Config) { c.SlowStartDuration = -1 }},
+		{"EventInterval", func(c *Config) { c.EventInterval = -1 }},
+		{"LatencyObjective", func(c *Config) { c.Classes[2].LatencyObjective = 0 }},
+		{"Deadline", func(c *Config) { c.Classes[0].Deadline = -1 }},
+		{"LateValue", func(c *Config) { c.Classes[0].LateValue = math.NaN() }},
+		{"Weight", func(c *Config) { c.Tenants[1].Weight = -0.1 }},
+		{"Quota", func(c *Config) { c.Tenants[1].Quota = math.NaN() }},
+		{"adds up to 0", func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} }},
+		{"MaxRetryAfter", func(c *Config) { c.MaxRetryAfter = -1 }},
 	} {
-		cfg := testConfig()
-		spoil(&cfg)
-		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
-		}
+		t.Run(c.field, func(t *testing.T) {
+			cfg := testConfig()
+			c.spoil(&cfg)
+			_, err := New(cfg, 1, newFakeHost())
+			if err == nil || !strings.Contains(err.Error(), c.field) {
+				t.Fatalf("error %v does not name it", err)
+			}
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) {
+				t.Errorf("error of type %T, want *ConfigError", err)
+			}
+		})
 	}
 }
--- a/policy/draining_test.go
+++ b/policy/draining_test.go
@@ -1,52 +1,58 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
+// An endpoint that drains or is removed stops soon, and whatever is sent to it is lost.
 func TestDrainingEndpointGetsNoAttempts(t *testing.T) {
-	for _, state := range []EndpointState{Draining, Removed} {
-		b, h := start(t, testConfig(), ready(1, 2))
-		b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: state, Weight: 1}})
-		for id := range RequestID(10) {
-			submit(b, 10*ms, id, idempotentClass)
-			finish(b, 20*ms, id, 0, Succeeded)
-		}
-		if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
-			t.Fatalf("state %v: sent %d to it", state, h.sentTo(1))
-		}
-	}
-	b, h := start(t, testConfig(), ready(1, 2))
-	b.UpdateEndpoints(10*ms, FullUpdate, ready(2)) // absent from a full list
-	for id := range RequestID(4) {
-		submit(b, 10*ms, id, idempotentClass)
-	}
-	if h.sentTo(1) != 0 {
-		t.Fatal("sent to a server that left the full list")
+	for _, c := range []struct {
+		name    string
+		kind    UpdateKind
+		entries []Endpoint
+	}{
+		{"draining", DeltaUpdate, []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
+		{"removed", DeltaUpdate, []Endpoint{{ID: 1, State: Removed, Weight: 1}}},
+		{"absent from a full update", FullUpdate, ready(2)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2))
+			b.UpdateEndpoints(10*ms, c.kind, c.entries)
+			for id := range RequestID(10) {
+				submit(b, 10*ms, id, idempotentClass)
+				finish(b, 20*ms, id, 0, Succeeded)
+			}
+			if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
+				t.Fatalf("%d sent to it, %d to the other; want 0 and 10", h.sentTo(1), h.sentTo(2))
+			}
+		})
 	}
 }
 
-// Rule 7: idle connections are closed at the notice, after each later outcome, and once more.
+// An endpoint that drains waits for its connections to close. Idle ones are closed when it is notified, after each
+// attempt that ends later, and once more, as one may be opening just then.
 func TestIdleConnectionsToDrainingEndpointsAreClosed(t *testing.T) {
-	cfg := testConfig()
-	cfg.DrainCloseTimeout = 300 * ms
-	b, h := start(t, cfg, ready(1))
-	submit(b, 0, 1, idempotentClass)
-	b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
-	if len(h.idleCloses) != 1 {
-		t.Fatalf("%d closes at the notice", len(h.idleCloses))
-	}
-	finish(b, 400*ms, 1, 0, Succeeded)
-	if len(h.idleCloses) != 2 {
-		t.Fatalf("%d closes after the outcome", len(h.idleCloses))
-	}
-	b.TimerFired(700*ms - 1)
-	if len(h.idleCloses) != 3 {
-		t.Fatalf("%d closes within the time", len(h.idleCloses))
-	}
-	b, h = start(t, testConfig(), ready(1))
-	b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
-	if len(h.idleCloses) != 0 {
-		t.Fatal("closed though no time is set")
-	}
+	t.Run("with a timeout", func(t *testing.T) {
+		cfg := testConfig()
+		cfg.DrainCloseTimeout = 300 * ms
+		b, h := start(t, cfg, ready(1))
+		submit(b, 0, 1, idempotentClass)
+		b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
+		if len(h.idleCloses) != 1 {
+			t.Fatalf("closed %d times at the update, want once", len(h.idleCloses))
+		}
+		finish(b, 400*ms, 1, 0, Succeeded)
+		if len(h.idleCloses) != 2 {
+			t.Fatalf("closed %d times after the outcome, want twice", len(h.idleCloses))
+		}
+		b.TimerFired(700*ms - 1)
+		if len(h.idleCloses) != 3 {
+			t.Fatalf("closed %d times within the timeout, want three times", len(h.idleCloses))
+		}
+	})
+	t.Run("without a timeout", func(t *testing.T) {
+		b, h := start(t, testConfig(), ready(1))
+		b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
+		if len(h.idleCloses) != 0 {
+			t.Fatalf("closed %d times though no timeout is set, want never", len(h.idleCloses))
+		}
+	})
 }
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -5,22 +5,30 @@
 	"time"
 )
 
-// Rule 1 at the gate: nothing is sent for a request that is over, streams, is late or has had its attempts.
+// Whatever else goes wrong, nothing may be sent for a request that has its answer, has begun to stream one, is past its
+// deadline, has an attempt in flight or has had all its attempts: a client would get two answers, or a class that must
+// not run twice would.
 func TestEligibility(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1))
-	for name, r := range map[string]*request{
-		"over":    {closed: true, deadline: time.Second},
-		"begun":   {streaming: true, deadline: time.Second},
-		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, inFlight: 1},
-		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
+	const now = 100 * ms
+	for _, c := range []struct {
+		name    string
+		request request
+		want    bool
+	}{
+		{"open", request{deadline: time.Second}, true},
+		{"closed", request{closed: true, deadline: time.Second}, false},
+		{"streaming", request{streaming: true, deadline: time.Second}, false},
+		{"at its deadline", request{deadline: now}, false},
+		{"in flight", request{deadline: time.Second, inFlight: 1}, false},
+		{"no attempts remaining", request{deadline: time.Second, attempts: make([]attempt, testConfig().MaxAttempts)}, false},
 	} {
-		r.class = &b.classes[idempotentClass]
-		if b.eligible(100*ms, r, b.endpoints.all[0]) {
-			t.Errorf("a request that is %s may go", name)
-		}
-	}
-	if !b.eligible(100*ms, &request{class: &b.classes[idempotentClass], deadline: time.Second}, b.endpoints.all[0]) {
-		t.Error("an ordinary request may not go")
+		t.Run(c.name, func(t *testing.T) {
+			b, _ := start(t, testConfig(), ready(1))
+			r := c.request
+			r.class = &b.classes[idempotentClass]
+			if got := b.eligible(now, &r, b.endpoints.all[0]); got != c.want {
+				t.Errorf("eligible: %v, want %v", got, c.want)
+			}
+		})
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against: a hung server keeps its turn and pins slots until time-out.
+// An endpoint that hung went on to get its even part of the attempts, and each of them had a slot until its timeout.
 func TestUnresponsiveEndpointGetsFewAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	now := time.Duration(0)
@@ -16,79 +16,97 @@
 		}
 		now += 10 * ms
 		b.TimerFired(now)
-		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
+		for i := range h.sends { // endpoint 1 never responds
+			s := h.sends[i]
+			if s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
 				finish(b, now, s.id, 0, TimedOut)
 			}
 		}
 	}
 	if n := h.sentTo(1); n > 60 {
-		t.Fatalf("a server that never answered got %d of 300 first sends", n)
+		t.Fatalf("an endpoint that never responded got %d of 300 first attempts, want at most 60", n)
 	}
 	if len(h.log) != 1 {
-		t.Fatalf("log %v: want one line", h.log)
+		t.Fatalf("logged %v, want one event", h.log)
 	}
 }
 
-// Guards against a day with servers replaced all along: one turned everything away at once, so it never held
-// anything and had room by every measure, while the others were full: it drew most requests, three times each.
+// Endpoints were replaced all the time, and one of them rejected everything at once. So it never had anything in flight
+// and seemed to have capacity by every measure, while the others were full: most requests were sent there, three times
+// each. It has to be ejected, and to get attempts again once it has recovered.
 func TestRejectingEndpointIsEjected(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	away, taken := 0, 0
+	rejected, served := 0, 0
 	for id := range RequestID(200) {
 		now := time.Duration(id) * 10 * ms
 		submit(b, now, id, idempotentClass)
-		for n := 0; n < 3 && len(h.sends) > away+taken; n++ {
-			if h.sends[away+taken].to == 1 {
-				away++
+		for n := 0; n < 3 && len(h.sends) > rejected+served; n++ {
+			if h.sends[rejected+served].to == 1 {
+				rejected++
 				finish(b, now, id, n, Rejected)
 			} else {
-				taken++
+				served++
 				finish(b, now, id, n, Succeeded)
 			}
 		}
 	}
-	if away > 15 || taken != 200 {
-		t.Fatalf("%d attempts turned away in 2 s, %d of 200 served; want few and all", away, taken)
+	if rejected > 15 || served != 200 {
+		t.Fatalf("%d attempts rejected in 2 s, %d of 200 requests served; want at most 15 and all", rejected, served)
 	}
 	for id := RequestID(300); id < 400; id++ {
 		now := 3*time.Second + time.Duration(id)*10*ms
 		submit(b, now, id, idempotentClass)
 		finish(b, now, id, 0, Succeeded)
 	}
-	if n := h.sentTo(1) - away; n < 4 {
-		t.Fatalf("%d of 100 to the server once it is well again", n)
+	if n := h.sentTo(1) - rejected; n < 4 {
+		t.Fatalf("%d of 100 attempts at the endpoint once it has recovered, want at least 4", n)
 	}
 }
 
-// Guards against: a server that fails what it gets, for whatever reason, keeps its turns, or never gets them back.
+// An endpoint that fails what it gets, in whatever way, must not keep its even part of the attempts. Once it has
+// recovered it must get them again, or capacity would be lost for good.
 func TestOutlierGetsFewAttemptsAndRecovers(t *testing.T) {
-	for _, ending := range []Result{ServerError, Rejected, ConnectFailed, ConnectionLost, TimedOut} {
-		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
-		now, id := time.Duration(0), RequestID(0)
-		run := func(n int, bad Result) int {
-			before := h.sentTo(1)
-			for range n {
-				now += 50 * ms
-				id++
-				resetAdmission(b) // admission is not at stake here
-				submit(b, now, id, nonIdempotentClass)
-				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
-					n := len(b.requests[id].attempts)
-					finish(b, now+5*ms, id, n-1, map[bool]Result{true: bad, false: Succeeded}[h.sends[k-1].to == 1])
-					if len(h.sends) == k {
-						break
+	for _, c := range []struct {
+		name   string
+		result Result
+	}{
+		{"server error", ServerError},
+		{"rejected", Rejected},
+		{"connect failed", ConnectFailed},
+		{"connection lost", ConnectionLost},
+		{"timed out", TimedOut},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+			now, id := time.Duration(0), RequestID(0)
+			// run submits requests, and returns how many attempts endpoint 1 got: they all have this result.
+			run := func(requests int, atEndpoint1 Result) int {
+				before := h.sentTo(1)
+				for range requests {
+					now += 50 * ms
+					id++
+					resetAdmission(b)
+					submit(b, now, id, nonIdempotentClass)
+					for sent := len(h.sends); sent > 0 && h.sends[sent-1].id == id; sent = len(h.sends) {
+						result := Succeeded
+						if h.sends[sent-1].to == 1 {
+							result = atEndpoint1
+						}
+						finish(b, now+5*ms, id, len(b.requests[id].attempts)-1, result)
+						if len(h.sends) == sent {
+							break // no retry
+						}
 					}
 				}
+				return h.sentTo(1) - before
 			}
-			return h.sentTo(1) - before
-		}
-		if n := run(400, ending); n > 40 {
-			t.Errorf("ending %d: a server that only fails got %d of 400 sends, evenly 100", ending, n)
-		}
-		run(200, Succeeded)
-		if n := run(100, Succeeded); n < 12 {
-			t.Errorf("ending %d: well again it got %d of 100 sends, evenly 25", ending, n)
-		}
+			if n := run(400, c.result); n > 40 {
+				t.Errorf("an endpoint that always fails got %d of 400 attempts, want at most 40; evenly 100", n)
+			}
+			run(200, Succeeded)
+			if n := run(100, Succeeded); n < 12 {
+				t.Errorf("once recovered it got %d of 100 attempts, want at least 12; evenly 25", n)
+			}
+		})
 	}
 }
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Endpoints differ in size. One of twice the weight has to get twice the attempts, or the small ones are overloaded.
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	list := ready(1, 2, 3)
 	list[2].Weight = 2
@@ -16,13 +17,14 @@
 		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
-		t.Fatalf("turns %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
+		t.Fatalf("attempts %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
 	}
 	if c := b.Counters(); c.RoundRobinSends != 40 {
-		t.Fatalf("ordinary sends %d of 40", c.RoundRobinSends)
+		t.Fatalf("%d sends counted as round robin, want 40", c.RoundRobinSends)
 	}
 }
 
+// An endpoint list without usable weights must not leave an endpoint without attempts.
 func TestUnusableWeightsCountEvenly(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
@@ -32,11 +34,12 @@
 		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
-		t.Fatalf("turns %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
+		t.Fatalf("attempts %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
 	}
 }
 
-// Guards against a zone with more traffic than its own servers can bear; crossing has a price, so near ones lead.
+// A zone may have more traffic than its own endpoints can bear, so other zones' endpoints get attempts too. Crossing
+// has a cost, so they get fewer.
 func TestCrossZoneEndpointsGetFewerAttempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
@@ -47,39 +50,41 @@
 		submit(b, time.Duration(id)*20*ms, id, idempotentClass)
 		finish(b, time.Duration(id)*20*ms+5*ms, id, 0, Succeeded)
 	}
-	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().CrossZoneSends != uint64(far) {
-		t.Fatalf("%d of 300 sends crossed, %d counted; want a fifth", far, b.Counters().CrossZoneSends)
+	crossed := h.sentTo(1) + h.sentTo(2)
+	if crossed < 50 || crossed > 70 || b.Counters().CrossZoneSends != uint64(crossed) {
+		t.Fatalf("%d of 300 sends crossed zones, %d counted; want a fifth", crossed, b.Counters().CrossZoneSends)
 	}
 }
 
-// Guards against a thousand sidecars that all begin with the heaviest servers (grown toowoomba-hives, untouched:
-// the same servers unwell everywhere in 1.3 s): their first turns must spread by weight, each server's too.
+// A thousand balancers that started together all sent first to the endpoints of the highest weight, and the same
+// endpoints were overloaded everywhere within 1.3 s. First attempts must spread over a fleet by weight.
 func TestFirstAttemptsSpreadOverFleet(t *testing.T) {
-	const balancers, servers = 1200, 60
+	const balancers, endpoints = 1200, 60
 	sent := map[EndpointID]int{}
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
 	for n := range balancers {
 		cfg.Index = n
 		list := ready()
-		for id := range EndpointID(servers) {
+		for id := range EndpointID(endpoints) {
 			list = append(list, Endpoint{ID: id * 7, State: Ready, Weight: 1 + 2*float64(id%2)})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		submit(b, 0, 1, idempotentClass)
 		sent[h.sends[0].to]++
 	}
-	light, heavy, most := 0, 0, 0
-	for id := range EndpointID(servers) {
+	light, heavy, highest := 0, 0, 0
+	for id := range EndpointID(endpoints) {
 		n := sent[id*7]
-		most = max(most, n)
+		highest = max(highest, n)
 		if id%2 == 0 {
 			light += n
 		} else {
 			heavy += n
 		}
 	}
-	if light < balancers/6 || light > balancers/3 || most > 60 { // even parts: 300 to the light ones, 30 to a heavy one
-		t.Fatalf("first sends: %d to light servers, %d to heavy ones, at most %d to one", light, heavy, most)
+	// By weight, 300 go to the light endpoints and 30 to each heavy one.
+	if light < balancers/6 || light > balancers/3 || highest > 60 {
+		t.Fatalf("first sends: %d to light endpoints, %d to heavy ones, at most %d to one", light, heavy, highest)
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -5,58 +5,69 @@
 	"time"
 )
 
+// An attempt that runs on after its response can earn nothing any more takes a slot and an endpoint's work from others.
 func TestAttemptTimeout(t *testing.T) {
-	cfg := testConfig()
-	cfg.Classes[1].LateValue = 0.5
-	b, h := start(t, cfg, ready(1, 2))
-	submit(b, 0, 1, idempotentClass)
-	submit(b, 0, 2, dedupEverywhereClass)
-	b.Request(0, Request{ID: 3, Class: dedupInCellClass, Timeout: 300 * ms})
-	if got := h.sends[0].timeout; got != time.Second {
-		t.Errorf("time-out %v, want the aim", got)
-	}
-	if got := h.sends[1].timeout; got != 2*time.Second {
-		t.Errorf("time-out %v where late answers are worth something, want all the time left", got)
-	}
-	if got := h.sends[2].timeout; got != 300*ms {
-		t.Errorf("time-out %v, want the client's time left", got)
+	for _, c := range []struct {
+		name    string
+		request Request
+		want    time.Duration
+	}{
+		{"latency objective", Request{Class: idempotentClass, Timeout: 2 * time.Second}, time.Second},
+		{"late responses have a value", Request{Class: dedupEverywhereClass, Timeout: 2 * time.Second}, 2 * time.Second},
+		{"client's timeout", Request{Class: dedupInCellClass, Timeout: 300 * ms}, 300 * ms},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Classes[dedupEverywhereClass].LateValue = 0.5
+			b, h := start(t, cfg, ready(1, 2))
+			b.Request(0, c.request)
+			if got := h.sends[0].timeout; got != c.want {
+				t.Errorf("timeout %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// Guards against: a client's later tries are served when nothing can be earned by them any more.
+// A client's retries were served when the latency objective of its first try had passed, so that nothing could be
+// earned by them. While responses are quick that does no harm; under congestion it takes slots from other requests.
 func TestClientRetryIsExpiredUnderCongestion(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	left := func(id RequestID, d time.Duration) { b.Request(0, Request{ID: id, Class: idempotentClass, Timeout: d}) }
-	left(1, 2800*ms) // first tries come with this much of the class's 3 s
-	left(2, 2500*ms) // begun half a second ago
-	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
+	submitWithTimeout := func(id RequestID, timeout time.Duration) {
+		b.Request(0, Request{ID: id, Class: idempotentClass, Timeout: timeout})
+	}
+	submitWithTimeout(1, 2800*ms) // first tries come with this much of the class's 3 s
+	submitWithTimeout(2, 2500*ms) // the first try began half a second ago
+	submitWithTimeout(3, 1500*ms) // the first try began 1.5 s ago: late, but responses are quick
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
-		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
+		t.Fatalf("sends %v: want the second limited to what remains of its objective, and the third served", h.sends)
 	}
-	b.congestion.meanSquare = 0.2 // answers are slow
-	left(4, 1500*ms)
-	if _, refused := h.rejected[4]; !refused {
-		t.Fatal("a late try took a slot while answers were slow")
+	b.congestion.meanSquare = 0.2
+	submitWithTimeout(4, 1500*ms)
+	if _, rejected := h.rejected[4]; !rejected {
+		t.Fatal("a late retry took a slot under congestion")
 	}
 }
 
-// Guards against clients that wait less than others for good are taken for late.
+// Clients of shorter timeouts than those before them were taken for late retries, and their requests were rejected
+// under congestion. Once the shorter timeouts have lasted for a while, they count as those of first tries.
 func TestClientTimeoutsMayChange(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	for id := range RequestID(400) {
 		now := time.Duration(id) * 20 * ms
-		left := 2800 * ms
+		timeout := 2800 * ms
 		if id >= 20 {
-			left = 2200 * ms
+			timeout = 2200 * ms
 		}
-		b.Request(now, Request{ID: id, Class: idempotentClass, Timeout: left})
+		b.Request(now, Request{ID: id, Class: idempotentClass, Timeout: timeout})
 		finish(b, now+5*ms, id, 0, Succeeded)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
-		t.Fatalf("time-out %v: the aim of a first try is still cut", last.timeout)
+		t.Fatalf("attempt timeout %v: the first try still counts as a retry, want the objective of 1 s", last.timeout)
 	}
 }
 
+// Where clients mark their retries, a request without the mark is a first try, however little time it comes with: as a
+// late retry it would be rejected.
 func TestUnmarkedRequestsAreFirstTries(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
@@ -65,6 +76,6 @@
 	b.Request(0, Request{ID: 2, Class: idempotentClass, Timeout: 2500 * ms})
 	b.Request(0, Request{ID: 3, Class: idempotentClass, Timeout: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
-		t.Fatalf("sends %v: want only the marked one cut", h.sends)
+		t.Fatalf("sends %v: want 1 s for the unmarked one, and 500 ms for the marked one", h.sends)
 	}
 }
