--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -5,129 +5,151 @@
 	"time"
 )
 
-// Guards against all walls together let servers pass into their slower state.
-func TestReportedLoadLimitsFleet(t *testing.T) {
+// reportingConfig has health checks that bring the number of requests in flight.
+func reportingConfig() Config {
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
-	b, h := start(t, cfg, ready(1, 2))
+	return cfg
+}
+
+// markReportsFresh has the Balancer take load reports for fresh, as after its samples of them.
+func markReportsFresh(b *Balancer) {
+	b.sampler.comparisons, b.sampler.changes = comparisonsNeeded, comparisonsNeeded
+}
+
+// The limits of all balancers together still let an endpoint have more requests than it can bear. One that reports so
+// must get no more of them, while its report is recent: by an old one it would stay without requests for good.
+func TestReportedLoadLimitsFleet(t *testing.T) {
+	b, h := start(t, reportingConfig(), ready(1, 2))
 	b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 50})
 	b.HealthChecked(ms, 2, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := range RequestID(4) {
 		submit(b, 2*ms, id, idempotentClass)
 	}
 	if h.sentTo(1) != 0 || h.sentTo(2) != 4 || len(h.healthChecks) != 0 {
-		t.Fatalf("sent %d to the full server, %d probes while reports are fresh", h.sentTo(1), len(h.healthChecks))
+		t.Fatalf("%d sent to the full endpoint, %d to the other, %d health checks; want 0, 4 and, with recent reports, 0",
+			h.sentTo(1), h.sentTo(2), len(h.healthChecks))
 	}
-	b.HealthChecked(2*ms, 9, true, LoadReport{Fields: HasInFlight, InFlight: 1})   // a server not listed
-	b.HealthChecked(2*ms, 1, false, LoadReport{Fields: HasInFlight, InFlight: -1}) // a failed probe
+	b.HealthChecked(2*ms, 9, true, LoadReport{Fields: HasInFlight, InFlight: 1})   // an endpoint that is not listed
+	b.HealthChecked(2*ms, 1, false, LoadReport{Fields: HasInFlight, InFlight: -1}) // a failed health check
 	b.HealthChecked(2*time.Second, 1, true, LoadReport{Fields: HasInFlight, InFlight: 0})
 	for id := RequestID(10); id < 12; id++ {
 		submit(b, 2*time.Second, id, idempotentClass)
 	}
 	if h.sentTo(1) == 0 {
-		t.Fatal("an old report still bars the server")
+		t.Fatal("the endpoint gets nothing by an old report")
 	}
 }
 
-// Guards against the grown toowoomba-hives: with a thousand sidecars of two requests a second, what one has
-// out at a server tells nothing of its load, and reports asked for in rotation are old when its turn comes.
+// With a thousand balancers of two requests a second each, what one of them has in flight at an endpoint tells nothing
+// of the load there, and reports asked for in rotation are old when they are used. So a request waits for a report of
+// the endpoint that is next, and for a few others' if that is full.
 func TestHealthCheckPrecedesSendWhereReportsAreOld(t *testing.T) {
-	cfg := testConfig()
-	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.sampler.comparisons, b.sampler.changes = comparisonsNeeded, comparisonsNeeded // reports were found fresh
+	b, h := start(t, reportingConfig(), ready(1, 2, 3, 4))
+	markReportsFresh(b)
 	submit(b, 0, 1, idempotentClass)
 	if len(h.healthChecks) != 1 || len(h.sends) != 0 {
-		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.healthChecks), len(h.sends))
+		t.Fatalf("%d health checks, %d sends; want one of the endpoint that is next, before the send",
+			len(h.healthChecks), len(h.sends))
 	}
 	first := h.healthChecks[0]
 	b.HealthChecked(6*ms, first, true, LoadReport{Fields: HasInFlight, InFlight: 50})
 	if len(h.healthChecks) != 2 || h.healthChecks[1] == first || len(h.sends) != 0 {
-		t.Fatalf("probes %v: want the next one asked, as the first is full", h.healthChecks)
+		t.Fatalf("health checks %v: want one of another endpoint, as the first is full", h.healthChecks)
 	}
 	b.HealthChecked(12*ms, h.healthChecks[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.healthChecks[1] {
-		t.Fatalf("sends %v: want one to the server that has room", h.sends)
+		t.Fatalf("sends %v: want one to the endpoint that has capacity", h.sends)
 	}
 	submit(b, time.Second, 2, idempotentClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.TimerFired(now) // no report comes
 	}
 	if n := len(h.healthChecks) - 2; n != maxHealthChecks || len(h.sends) != 1 {
-		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
+		t.Fatalf("%d health checks, %d sends; want %d, and none to an endpoint without a report",
 			n, len(h.sends), maxHealthChecks)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
-	if _, refused := h.rejected[2]; !refused {
-		t.Fatal("the request was lost")
+	if _, rejected := h.rejected[2]; !rejected {
+		t.Fatal("the request was not answered")
 	}
 }
 
-// Guards against a release on sockets: a server that drains answers probes with 503 at once, before the list
-// tells of it. Its turn stayed the next one, so all requests asked it three times and were refused.
+// During a release, an endpoint that drained answered health checks with 503 before the list said that it drained. It
+// stayed the next one, so all requests waited for it three times and were rejected.
 func TestEndpointWithoutReportIsSkipped(t *testing.T) {
-	cfg := testConfig()
-	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.sampler.comparisons, b.sampler.changes = comparisonsNeeded, comparisonsNeeded // reports were found fresh
+	b, h := start(t, reportingConfig(), ready(1, 2, 3, 4))
+	markReportsFresh(b)
 	submit(b, 0, 1, idempotentClass)
-	drains := h.healthChecks[0]
-	b.HealthChecked(ms, drains, false, LoadReport{})
-	if len(h.healthChecks) != 2 || h.healthChecks[1] == drains {
-		t.Fatalf("probes %v: want the next one asked, as the first can't tell", h.healthChecks)
+	draining := h.healthChecks[0]
+	b.HealthChecked(ms, draining, false, LoadReport{})
+	if len(h.healthChecks) != 2 || h.healthChecks[1] == draining {
+		t.Fatalf("health checks %v: want one of another endpoint, as the first does not report", h.healthChecks)
 	}
 	b.HealthChecked(2*ms, h.healthChecks[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.healthChecks[1] {
-		t.Fatalf("sends %v: want one to the server that has room", h.sends)
+		t.Fatalf("sends %v: want one to the endpoint that has capacity", h.sends)
 	}
 }
 
-// Guards against a day on which a few servers fail much of what they get: the others stood at their part and one
-// more, well short of a crowd, and requests were refused.
+// While a few endpoints failed much of what they got, the others were at their part of the fleet's requests and one
+// more, well below what they can bear, and requests were rejected. Endpoints have to take a few more than their part.
 func TestReportedLoadHeadroom(t *testing.T) {
-	cfg := testConfig()
-	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
-	for over, want := range map[float64]int{1.5: 1, 2.5: 0} {
-		b, h := start(t, cfg, ready(1))
-		b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: b.fleetInFlight + over})
-		if submit(b, 2*ms, 1, idempotentClass); len(h.sends) != want {
-			t.Errorf("%d sends at %v over its part, want %d", len(h.sends), over, want)
-		}
+	for _, c := range []struct {
+		name   string
+		excess float64 // over the endpoint's part
+		sends  int
+	}{
+		{"below the headroom", 1.5, 1},
+		{"above the headroom", 2.5, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, reportingConfig(), ready(1))
+			b.HealthChecked(ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: b.fleetInFlight + c.excess})
+			if submit(b, 2*ms, 1, idempotentClass); len(h.sends) != c.sends {
+				t.Errorf("%d sends, want %d", len(h.sends), c.sends)
+			}
+		})
 	}
 }
 
-// Guards against incident i50e019: all balancers ask the same stale reports and crowd to where it was empty.
+// Endpoints renewed their reports so seldom that all balancers saw the same old ones, and all sent to where load had
+// been low before. Requests wait for reports only where these change as quickly as they are used.
 func TestStaleReportsDoNotSteer(t *testing.T) {
-	for _, stale := range []bool{false, true} {
-		cfg := testConfig()
-		cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight|HasUtilization
-		b, h := start(t, cfg, ready(1, 2, 3))
-		seen := 0
-		for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
-			b.TimerFired(now)
-			for ; seen < len(h.healthChecks); seen++ {
-				l := LoadReport{Fields: cfg.ReportFields, InFlight: 1, Utilization: now.Seconds()}
-				if stale {
-					l.Utilization = 0.5
+	for _, c := range []struct {
+		name        string
+		utilization func(now time.Duration) float64
+		checked     bool
+	}{
+		{"fresh", func(now time.Duration) float64 { return now.Seconds() }, true},
+		{"stale", func(time.Duration) float64 { return 0.5 }, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := reportingConfig()
+			cfg.ReportFields = HasInFlight | HasUtilization
+			b, h := start(t, cfg, ready(1, 2, 3))
+			seen := 0
+			for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
+				b.TimerFired(now)
+				for ; seen < len(h.healthChecks); seen++ {
+					report := LoadReport{Fields: cfg.ReportFields, InFlight: 1, Utilization: c.utilization(now)}
+					b.HealthChecked(now, h.healthChecks[seen], true, report)
 				}
-				b.HealthChecked(now, h.healthChecks[seen], true, l)
 			}
-		}
-		n := len(h.healthChecks)
-		submit(b, 4*time.Second, 1, idempotentClass)
-		if asked := len(h.healthChecks) > n; asked == stale {
-			t.Errorf("stale %v: asked before sending %v", stale, asked)
-		}
+			before := len(h.healthChecks)
+			submit(b, 4*time.Second, 1, idempotentClass)
+			if checked := len(h.healthChecks) > before; checked != c.checked {
+				t.Errorf("health check before the send: %v, want %v", checked, c.checked)
+			}
+		})
 	}
 }
 
-// Guards against incident i85adde: probes that fail tell nothing, and sampling went on for ever.
+// Where health checks failed, balancers went on to sample reports for ever, as no two could be compared.
 func TestSamplingEndsWhereHealthChecksFail(t *testing.T) {
-	cfg := testConfig()
-	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3))
+	b, h := start(t, reportingConfig(), ready(1, 2, 3))
 	seen := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.TimerFired(now)
@@ -136,6 +158,6 @@
 		}
 	}
 	if len(h.healthChecks) > 2*comparisonsNeeded {
-		t.Fatalf("%d probes, none of which was answered", len(h.healthChecks))
+		t.Fatalf("%d health checks, none of which succeeded; want at most %d", len(h.healthChecks), 2*comparisonsNeeded)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -1,87 +1,101 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
+// A request that must not run twice was sent again although the first attempt may have run: the client's order was
+// carried out twice. Retries depend on whether the class allows them and on whether the attempt may have run; a result
+// that is not known counts as one that may.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		ends  Result
-		again bool
-		fails bool // where it is not sent again
+		name    string
+		class   int
+		result  Result
+		retried bool
+		failed  bool // where it is not retried
 	}{
-		{"safe after an error", idempotentClass, ServerError, true, false},
-		{"keyed after a reset", dedupEverywhereClass, ConnectionLost, true, false},
-		{"unsafe turned away", nonIdempotentClass, Rejected, true, false},
-		{"unsafe without a connection", nonIdempotentClass, ConnectFailed, true, false},
-		{"unsafe never sent", nonIdempotentClass, NotSent, true, false},
-		{"unsafe after an error", nonIdempotentClass, ServerError, false, true},
-		{"unsafe after a reset", nonIdempotentClass, ConnectionLost, false, true},
-		{"unsafe after a time-out", nonIdempotentClass, TimedOut, false, true},
-		{"unsafe after an unknown end", nonIdempotentClass, Result(99), false, true},
+		{"idempotent after an error", idempotentClass, ServerError, true, false},
+		{"by key after a lost connection", dedupEverywhereClass, ConnectionLost, true, false},
+		{"not idempotent, rejected", nonIdempotentClass, Rejected, true, false},
+		{"not idempotent, without a connection", nonIdempotentClass, ConnectFailed, true, false},
+		{"not idempotent, never sent", nonIdempotentClass, NotSent, true, false},
+		{"not idempotent after an error", nonIdempotentClass, ServerError, false, true},
+		{"not idempotent after a lost connection", nonIdempotentClass, ConnectionLost, false, true},
+		{"not idempotent after a timeout", nonIdempotentClass, TimedOut, false, true},
+		{"not idempotent after an unknown result", nonIdempotentClass, Result(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
 			submit(b, 0, 1, c.class)
-			finish(b, 30*ms, 1, 0, c.ends)
-			if again := len(h.sends) == 2; again != c.again {
-				t.Fatalf("sent again: %v, want %v", again, c.again)
+			finish(b, 30*ms, 1, 0, c.result)
+			if retried := len(h.sends) == 2; retried != c.retried {
+				t.Fatalf("retried: %v, want %v", retried, c.retried)
 			}
-			if !c.again && h.failed[1] != c.fails {
-				t.Fatalf("failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.rejected)
+			if !c.retried && h.failed[1] != c.failed {
+				t.Fatalf("failed: %v, want %v (rejected: %v)", h.failed[1], c.failed, h.rejected)
 			}
-			if c.again && h.sends[1].to == h.sends[0].to {
-				t.Fatal("sent again to the same server")
+			if c.retried && h.sends[1].to == h.sends[0].to {
+				t.Fatal("retried at the same endpoint")
 			}
 		})
 	}
 }
 
+// A request whose attempts all provably never ran may be rejected, so that its client can retry.
 func TestRejectedAfterMaxAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
 	submit(b, 0, 1, nonIdempotentClass)
 	for i := range 3 {
 		finish(b, time.Duration(i+1)*ms, 1, i, ConnectFailed)
 	}
-	if _, ok := h.rejected[1]; len(h.sends) != 3 || !ok {
-		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
+	if _, rejected := h.rejected[1]; len(h.sends) != 3 || !rejected {
+		t.Fatalf("%d sends, rejected: %v; want 3 and true", len(h.sends), rejected)
 	}
 }
 
+// Endpoints of one zone or cell share the idempotency keys that they have seen. A retry outside of that group runs the
+// request a second time.
 func TestRetryStaysInDedupScope(t *testing.T) {
 	list := []Endpoint{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id EndpointID) Endpoint { return list[id-1] }
-	for id := range RequestID(8) { // the turns make the first attempt meet every server
-		for _, class := range []int{dedupInZoneClass, dedupInCellClass} {
-			b, h := start(t, testConfig(), list)
-			for warm := range id {
-				submit(b, 0, 100+warm, idempotentClass)
-				finish(b, ms, 100+warm, 0, Succeeded)
-			}
-			h.sends = nil
-			submit(b, 2*ms, 1, class)
-			first := byID(h.sends[0].to)
-			finish(b, 30*ms, 1, 0, ConnectionLost)
-			if len(h.sends) < 2 {
-				if class == dedupInZoneClass || first.Zone == 1 {
-					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
+	for _, c := range []struct {
+		name  string
+		class int
+	}{{"zone", dedupInZoneClass}, {"cell", dedupInCellClass}} {
+		for earlier := range RequestID(8) { // so many that the first attempt meets every endpoint
+			t.Run(fmt.Sprintf("%s after %d requests", c.name, earlier), func(t *testing.T) {
+				b, h := start(t, testConfig(), list)
+				for id := range earlier {
+					submit(b, 0, 100+id, idempotentClass)
+					finish(b, ms, 100+id, 0, Succeeded)
 				}
-				continue // alone in its cell
-			}
-			second := byID(h.sends[1].to)
-			if second.Zone != first.Zone || (class == dedupInCellClass && second.Cell != first.Cell) {
-				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
-			}
+				h.sends = nil
+				submit(b, 2*ms, 1, c.class)
+				first := byID(h.sends[0].to)
+				finish(b, 30*ms, 1, 0, ConnectionLost)
+				if len(h.sends) < 2 {
+					if c.class == dedupInZoneClass || first.Zone == 1 {
+						t.Fatalf("the attempt at endpoint %d was not retried", first.ID)
+					}
+					return // alone in its cell
+				}
+				second := byID(h.sends[1].to)
+				if second.Zone != first.Zone || (c.class == dedupInCellClass && second.Cell != first.Cell) {
+					t.Fatalf("retried at endpoint %d after %d, outside the scope", second.ID, first.ID)
+				}
+			})
 		}
 	}
 }
 
+// An attempt that was rejected has left no idempotency key behind, so its zone must not bind the retry: with all of that
+// zone's endpoints out of service, the request would be lost without need. The first attempt that may have run does.
 func TestDedupScopeIgnoresAttemptsThatNeverRan(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
@@ -93,114 +107,145 @@
 	}
 	b.UpdateEndpoints(ms, DeltaUpdate, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
-	submit(b, 2*ms, 1, dedupInZoneClass) // it is the turn of server 2, in zone 1
+	submit(b, 2*ms, 1, dedupInZoneClass) // endpoint 2 is next, in zone 1
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+		t.Fatalf("set-up: the first attempt went to endpoint %d, want 2", h.sends[0].to)
 	}
 	finish(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
-		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
+		t.Fatalf("sends %v, want a second attempt at endpoint 1", h.sends)
 	}
-	finish(b, 4*ms, 1, 1, ConnectionLost) // may have run in zone 0: server 2 is barred now
+	finish(b, 4*ms, 1, 1, ConnectionLost) // it may have run in zone 0, so endpoint 2 is not eligible any more
 	if len(h.sends) != 2 {
-		t.Fatalf("sent outside the group: %v", h.sends)
+		t.Fatalf("sends %v, want none outside the scope", h.sends)
 	}
 }
 
+// Endpoints forget idempotency keys after a while. A retry later than that runs the request a second time.
 func TestNoRetryAfterDedupWindow(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3))
-	submit(b, 0, 1, dedupEverywhereClass)
-	finish(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
-	if _, refused := h.rejected[1]; len(h.sends) != 1 || !refused {
-		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
-	}
-	resetAdmission(b)
-	submit(b, 800*ms, 2, dedupInZoneClass)
-	finish(b, 1500*ms, 2, 0, ServerError)
-	if !h.failed[2] {
-		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
+	for _, c := range []struct {
+		name     string
+		class    int
+		rejected bool // else failed
+	}{
+		{"all endpoints drop duplicates", dedupEverywhereClass, true},
+		{"those of one zone do", dedupInZoneClass, false}, // the client's retry may go to another zone
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			submit(b, 0, 1, c.class)
+			finish(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
+			if len(h.sends) != 1 {
+				t.Errorf("%d sends, want 1", len(h.sends))
+			}
+			if _, rejected := h.rejected[1]; rejected != c.rejected || h.failed[1] == c.rejected {
+				t.Errorf("rejected %v, failed %v; want rejected %v, else failed", rejected, h.failed[1], c.rejected)
+			}
+		})
 	}
 }
 
-// A repeat is told how long its like are dropped: connections may come up late. Nothing else is held to that.
+// The connection for a retry came up so late that endpoints no longer recognised the duplicate when the request was
+// written. The host has to know by when it must be written; other attempts have no such limit.
 func TestRetryHasWriteTimeout(t *testing.T) {
 	for _, c := range []struct {
-		class int
-		ends  Result
-		want  time.Duration
+		name   string
+		class  int
+		result Result
+		want   time.Duration
 	}{
-		{dedupEverywhereClass, ServerError, 400 * ms}, {dedupInZoneClass, ConnectionLost, 400 * ms}, {dedupInCellClass, TimedOut, 400 * ms},
-		{dedupEverywhereClass, Rejected, 0}, {dedupEverywhereClass, ConnectFailed, 0}, {idempotentClass, ServerError, 0}, {nonIdempotentClass, Rejected, 0},
+		{"everywhere, server error", dedupEverywhereClass, ServerError, 400 * ms},
+		{"in zone, connection lost", dedupInZoneClass, ConnectionLost, 400 * ms},
+		{"in cell, timed out", dedupInCellClass, TimedOut, 400 * ms},
+		{"everywhere, rejected", dedupEverywhereClass, Rejected, 0},
+		{"everywhere, connect failed", dedupEverywhereClass, ConnectFailed, 0},
+		{"idempotent, server error", idempotentClass, ServerError, 0},
+		{"not idempotent, rejected", nonIdempotentClass, Rejected, 0},
 	} {
-		b, h := start(t, testConfig(), ready(1, 2, 3))
-		submit(b, 0, 1, c.class)
-		finish(b, 300*ms, 1, 0, c.ends)
-		if len(h.sends) != 2 || h.sends[0].writeTimeout != 0 || h.sends[1].writeTimeout != c.want {
-			t.Errorf("class %d, ending %d: sends %+v, want two, the second within %v", c.class, c.ends, h.sends, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			submit(b, 0, 1, c.class)
+			finish(b, 300*ms, 1, 0, c.result)
+			if len(h.sends) != 2 || h.sends[0].writeTimeout != 0 || h.sends[1].writeTimeout != c.want {
+				t.Errorf("sends %+v, want two, the second with a write timeout of %v", h.sends, c.want)
+			}
+		})
 	}
 }
 
-// A server that leaves may be listed without its zone and cell. The repeat of what it may have run stays within them.
+// The list entry that removes an endpoint may lack its zone and cell. The retry of what may have run there went to an
+// endpoint in zone 0 then, which did not recognise the duplicate.
 func TestRetryStaysInDedupScopeOfRemovedEndpoint(t *testing.T) {
-	for _, class := range []int{dedupInZoneClass, dedupInCellClass} {
-		list := []Endpoint{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}}
-		b, h := start(t, testConfig(), list)
-		submit(b, 0, 1, class)
-		list[0].Zone, list[0].Cell, list[0].State = 0, 0, Removed
-		other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
-		b.UpdateEndpoints(ms, DeltaUpdate, append(list, other))
-		finish(b, 2*ms, 1, 0, ConnectionLost)
-		b.TimerFired(100 * ms)
-		if len(h.sends) != 1 || h.sends[0].to != 1 {
-			t.Errorf("class %d: sends %+v, want the first alone", class, h.sends)
-		}
+	for _, c := range []struct {
+		name  string
+		class int
+	}{{"zone", dedupInZoneClass}, {"cell", dedupInCellClass}} {
+		t.Run(c.name, func(t *testing.T) {
+			list := []Endpoint{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}}
+			b, h := start(t, testConfig(), list)
+			submit(b, 0, 1, c.class)
+			list[0].Zone, list[0].Cell, list[0].State = 0, 0, Removed
+			other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
+			b.UpdateEndpoints(ms, DeltaUpdate, append(list, other))
+			finish(b, 2*ms, 1, 0, ConnectionLost)
+			b.TimerFired(100 * ms)
+			if len(h.sends) != 1 || h.sends[0].to != 1 {
+				t.Errorf("sends %+v, want the first attempt alone", h.sends)
+			}
+		})
 	}
 }
 
-// Rule 6: further attempts stay within the budget of their own window.
+// Retries multiply the load just when endpoints fail. Those of any interval stay within the budget of the requests that
+// were taken in it.
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget = RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5}
 	b, h := start(t, cfg, ready(1, 2, 3))
-	try := func(now time.Duration, id RequestID, class int) int {
-		n := len(h.sends)
+	attempts := func(now time.Duration, id RequestID, class int) int {
+		before := len(h.sends)
 		resetAdmission(b)
 		submit(b, now, id, class)
 		finish(b, now, id, 0, Rejected)
-		if len(h.sends) > n+1 {
+		if len(h.sends) > before+1 {
 			finish(b, now, id, 1, Succeeded)
 		}
-		return len(h.sends) - n
+		return len(h.sends) - before
 	}
-	if try(0, 1, idempotentClass) != 2 || try(0, 2, nonIdempotentClass) != 2 || try(0, 3, nonIdempotentClass) != 1 {
-		t.Fatalf("sends %+v: want one free further attempt and one for two requests", h.sends)
+	if attempts(0, 1, idempotentClass) != 2 || attempts(0, 2, nonIdempotentClass) != 2 || attempts(0, 3, nonIdempotentClass) != 1 {
+		t.Fatalf("sends %+v: want one retry of the minimum and one for two requests", h.sends)
 	}
-	if _, ok := h.rejected[3]; !ok {
-		t.Fatal("a request that never ran and met the end of the budget is not refused")
+	if _, rejected := h.rejected[3]; !rejected {
+		t.Fatal("a request that never ran was not rejected when the budget was exhausted")
 	}
-	// A second later the requests no longer count, but the attempts made just then still do.
-	if n := try(time.Second, 4, idempotentClass); n != 1 {
-		t.Fatalf("%d sends at the window's edge, want 1", n)
+	// A second later the requests no longer count, but the retries made just then still do.
+	if n := attempts(time.Second, 4, idempotentClass); n != 1 {
+		t.Fatalf("%d sends at the end of the interval, want 1", n)
 	}
-	if n := try(time.Second+1, 5, idempotentClass); n != 2 {
-		t.Fatalf("%d sends once the window has passed, want 2", n)
+	if n := attempts(time.Second+1, 5, idempotentClass); n != 2 {
+		t.Fatalf("%d sends once the interval is over, want 2", n)
 	}
 }
 
-// A budget of nothing is a budget; none at all is no limit.
+// A budget of no retries differs from no budget, which sets no limit.
 func TestRetryBudgetZeroAndAbsent(t *testing.T) {
 	for _, c := range []struct {
+		name   string
 		budget RetryBudget
-		want   int
-	}{{RetryBudget{Interval: time.Second}, 1}, {RetryBudget{}, 2}} {
-		cfg := testConfig()
-		cfg.RetryBudget = c.budget
-		b, h := start(t, cfg, ready(1, 2, 3))
-		submit(b, 0, 1, idempotentClass)
-		finish(b, 0, 1, 0, Rejected)
-		if len(h.sends) != c.want {
-			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
-		}
+		sends  int
+	}{
+		{"no retries", RetryBudget{Interval: time.Second}, 1},
+		{"no budget", RetryBudget{}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.RetryBudget = c.budget
+			b, h := start(t, cfg, ready(1, 2, 3))
+			submit(b, 0, 1, idempotentClass)
+			finish(b, 0, 1, 0, Rejected)
+			if len(h.sends) != c.sends {
+				t.Errorf("%d sends, want %d", len(h.sends), c.sends)
+			}
+		})
 	}
 }
