--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// benchRate is requests a second at each balancer, as at the size the design is for.
+// benchRate is the requests per second at each balancer, as in the largest fleet that the design is for.
 const benchRate = 373
 
-// BenchmarkRequest measures what the decisions of a request take (its start and its end, and its part of the
-// calls of Wake) over the number of peers and of servers: it must be the same at any size. What peers tell
-// comes meanwhile at the rate at which they tell it, and is measured by itself: ns/news is for one datagram,
-// news/op are those that come for each request.
+// BenchmarkRequest measures what the decisions for a request take (its start and its end, and its part of the timers)
+// over the number of peers and of endpoints ("servers"): it must be the same in a fleet of any size. Gossip comes
+// meanwhile at the rate at which peers broadcast, and is measured by itself: ns/news is for one message ("news"), and
+// news/op is the messages for each request. Records of earlier measurements use these names and units.
 func BenchmarkRequest(b *testing.B) {
 	for _, peers := range []int{16, 300, 1000, 11000} {
 		for _, servers := range []int{16, 200, 11000} {
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkList measures a whole list, and then one changed line.
+// BenchmarkList measures a full update of the endpoint list, a repeated one, and a delta update of one entry.
 func BenchmarkList(b *testing.B) {
 	for _, servers := range []int{16, 200, 11000} {
 		list := benchEndpoints(servers)
@@ -54,7 +54,7 @@
 	return cfg
 }
 
-// benchEndpoints is in no order of ids, as discovery's is.
+// benchEndpoints returns a list in no order of ids, like that of discovery.
 func benchEndpoints(servers int) (list []Endpoint) {
 	for i := range servers {
 		list = append(list, Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
@@ -62,7 +62,7 @@
 	return list
 }
 
-// silentHost carries nothing out, so that only the decisions are measured.
+// silentHost does nothing, so that only the decisions are measured.
 type silentHost struct{ fakeHost }
 
 func (*silentHost) Send(RequestID, EndpointID, time.Duration, time.Duration) {}
@@ -73,58 +73,86 @@
 func (*silentHost) WatchEndpoints()                                          {}
 func (*silentHost) Broadcast(GossipMessage)                                  {}
 
-func benchRequests(b *testing.B, peers, servers int) {
-	cfg := benchConfig(peers)
-	x, err := New(cfg, 1, new(silentHost))
+// requestBenchmark plays requests and gossip at a fixed rate.
+type requestBenchmark struct {
+	*Balancer
+	now          time.Duration
+	latest       RequestID
+	finished     RequestID
+	nextTimer    time.Duration
+	peers        int
+	nextPeer     int
+	messagesOwed float64 // owed by the peers
+	messages     int     // received
+}
+
+const (
+	benchInterval = time.Second / benchRate // between requests
+	benchLatency  = 20 * ms
+)
+
+func newRequestBenchmark(b *testing.B, peers, servers int) *requestBenchmark {
+	b.Helper()
+	balancer, err := New(benchConfig(peers), 1, new(silentHost))
 	if err != nil {
 		b.Fatal(err)
 	}
-	const apart, took = time.Second / benchRate, 20 * ms
-	now := time.Second
-	x.Start(now)
-	x.UpdateEndpoints(now, FullUpdate, benchEndpoints(servers))
-	var next, done RequestID
-	var wake time.Duration
-	told, owed, news := 1, 0.0, 0
-	hear := func() {
-		for owed += float64(peers-1) * float64(apart) / float64(x.objective.times(broadcastInterval)); owed >= 1; owed-- {
-			x.ReceiveGossip(now, told, GossipMessage{SentAt: now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
-			told, news = told%(peers-1)+1, news+1
-		}
+	x := &requestBenchmark{Balancer: balancer, now: time.Second, peers: peers, nextPeer: 1}
+	x.Start(x.now)
+	x.UpdateEndpoints(x.now, FullUpdate, benchEndpoints(servers))
+	return x
+}
+
+// receiveMessages passes the gossip that comes in an interval.
+func (x *requestBenchmark) receiveMessages() {
+	perBalancer := float64(benchInterval) / float64(x.objective.times(broadcastInterval))
+	for x.messagesOwed += float64(x.peers-1) * perBalancer; x.messagesOwed >= 1; x.messagesOwed-- {
+		x.ReceiveGossip(x.now, x.nextPeer,
+			GossipMessage{SentAt: x.now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
+		x.nextPeer = x.nextPeer%(x.peers-1) + 1
+		x.messages++
 	}
-	decide := func() {
-		next++
-		x.Request(now, Request{ID: next, Class: int(next % 2), Timeout: time.Second})
-		for ; done+RequestID(took/apart) < next; done++ {
-			x.Outcome(now, Outcome{RequestID: done + 1, Result: Succeeded, Answered: true})
-		}
-		if now >= wake {
-			x.TimerFired(now)
-			wake = now + activeTimerInterval
-		}
+}
+
+// playRequest passes a request, the outcomes of earlier ones, and a timer when it is due.
+func (x *requestBenchmark) playRequest() {
+	x.latest++
+	x.Request(x.now, Request{ID: x.latest, Class: int(x.latest % 2), Timeout: time.Second})
+	for ; x.finished+RequestID(benchLatency/benchInterval) < x.latest; x.finished++ {
+		x.Outcome(x.now, Outcome{RequestID: x.finished + 1, Result: Succeeded, Answered: true})
 	}
-	for range 20 * benchRate { // until its rate is known, and as many as can be have told
-		now += apart
-		hear()
-		decide()
+	if x.now >= x.nextTimer {
+		x.TimerFired(x.now)
+		x.nextTimer = x.now + activeTimerInterval
+	}
+}
+
+func benchRequests(b *testing.B, peers, servers int) {
+	x := newRequestBenchmark(b, peers, servers)
+	for range 20 * benchRate { // until its rate is known, and as many peers as can have sent a message
+		x.now += benchInterval
+		x.receiveMessages()
+		x.playRequest()
 	}
-	news = 0
+	x.messages = 0
 	before := x.Counters()
-	var deciding, hearing time.Duration
+	var requestTime, gossipTime time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
-		now += apart
+		x.now += benchInterval
 		begun := time.Now()
-		hear()
-		heard := time.Now()
-		decide()
-		deciding += time.Since(heard)
-		hearing += heard.Sub(begun)
+		x.receiveMessages()
+		received := time.Now()
+		x.playRequest()
+		requestTime += time.Since(received)
+		gossipTime += received.Sub(begun)
 	}
-	if after := x.Counters(); after.Rejected != before.Rejected || after.ConcurrencyLimited != before.ConcurrencyLimited || after.RoundRobinSends == before.RoundRobinSends {
+	after := x.Counters()
+	rejected, limited := after.Rejected != before.Rejected, after.ConcurrencyLimited != before.ConcurrencyLimited
+	if rejected || limited || after.RoundRobinSends == before.RoundRobinSends {
 		b.Fatalf("not the ordinary path: %+v, %+v before", after, before)
 	}
-	b.ReportMetric(float64(deciding.Nanoseconds())/float64(b.N), "ns/request")
-	b.ReportMetric(float64(hearing.Nanoseconds())/max(1, float64(news)), "ns/news")
-	b.ReportMetric(float64(news)/float64(b.N), "news/op")
+	b.ReportMetric(float64(requestTime.Nanoseconds())/float64(b.N), "ns/request")
+	b.ReportMetric(float64(gossipTime.Nanoseconds())/max(1, float64(x.messages)), "ns/news")
+	b.ReportMetric(float64(x.messages)/float64(b.N), "news/op")
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// goldenHost writes down every action of a Balancer but its log lines, as numbers and with its time, so that
-// a rename changes nothing in it.
+// goldenHost records every action of a Balancer but its health events, as numbers and with its time, so that a rename
+// changes nothing in the record.
 type goldenHost struct {
 	now      time.Duration
 	lines    []string
 	open     []goldenAttempt
-	attempts map[RequestID]int
+	attempts map[RequestID]int // sent so far
 	closed   map[RequestID]bool
 }
 
-// goldenAttempt is an attempt that has not ended yet.
+// goldenAttempt is an attempt in flight.
 type goldenAttempt struct {
 	id      RequestID
 	attempt int
@@ -34,14 +34,14 @@
 	h.lines = append(h.lines, line)
 }
 
-func (h *goldenHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.record(1, uint64(id), uint64(to), int64(timeout), int64(within))
+func (h *goldenHost) Send(id RequestID, to EndpointID, timeout, writeTimeout time.Duration) {
+	h.record(1, uint64(id), uint64(to), int64(timeout), int64(writeTimeout))
 	h.open = append(h.open, goldenAttempt{id, h.attempts[id], to})
 	h.attempts[id]++
 }
 
-func (h *goldenHost) Reject(id RequestID, pause time.Duration) {
-	h.record(2, uint64(id), int64(pause))
+func (h *goldenHost) Reject(id RequestID, retryAfter time.Duration) {
+	h.record(2, uint64(id), int64(retryAfter))
 	h.closed[id] = true
 }
 
@@ -57,11 +57,11 @@
 func (h *goldenHost) WatchEndpoints()                  { h.record(8) }
 func (h *goldenHost) Log(HealthEvent)                  {}
 
-func (h *goldenHost) Broadcast(n GossipMessage) {
-	h.record(9, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion)
+func (h *goldenHost) Broadcast(m GossipMessage) {
+	h.record(9, int64(m.SentAt), m.RequestRate, m.Responses, m.Congestion)
 }
 
-// goldenRun plays one seed of random events.
+// goldenRun plays the random events of one seed.
 type goldenRun struct {
 	rng        *rand.Rand
 	cfg        Config
@@ -148,7 +148,7 @@
 	case 0:
 		q.Class = 99 // no such class
 	case 1:
-		q.ID = RequestID(w.rng.Uint64N(uint64(w.next))) + 1 // maybe one that is still held
+		q.ID = RequestID(w.rng.Uint64N(uint64(w.next))) + 1 // maybe one that is in use
 	case 2:
 		q.Timeout = 0
 	}
@@ -163,13 +163,13 @@
 	i := min(len(w.host.open)-1, w.rng.IntN(1+w.slow))
 	a := w.host.open[i]
 	w.host.open = append(w.host.open[:i:i], w.host.open[i+1:]...)
-	end := Succeeded
+	result := Succeeded
 	if w.oneIn(4) {
-		end = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
+		result = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
 	}
-	settled := end == Succeeded || w.oneIn(20)
-	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: end, Answered: settled, Report: w.randomReport()})
-	if w.oneIn(50) { // told twice
+	answered := result == Succeeded || w.oneIn(20)
+	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: result, Answered: answered, Report: w.randomReport()})
+	if w.oneIn(50) { // repeated
 		w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
 	}
 }
@@ -199,8 +199,8 @@
 		w.b.HealthChecked(now, EndpointID(w.rng.IntN(24)), !w.oneIn(5), w.randomReport())
 	case 18:
 		at := now - pickOne(w, 0, 5*ms, 30*ms, time.Hour)
-		crowd := pickOne(w, 0.01, 0.2, 1, 3, -1, math.NaN())
-		w.b.ReceiveGossip(now, w.rng.IntN(w.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(w, 1.0, 20, 300), Responses: float64(w.rng.IntN(20)), Congestion: crowd})
+		congestion := pickOne(w, 0.01, 0.2, 1, 3, -1, math.NaN())
+		w.b.ReceiveGossip(now, w.rng.IntN(w.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(w, 1.0, 20, 300), Responses: float64(w.rng.IntN(20)), Congestion: congestion})
 	case 19:
 		id := RequestID(w.rng.Uint64N(uint64(w.next) + 2))
 		if w.oneIn(2) {
@@ -237,8 +237,8 @@
 	return fmt.Sprintf("%016x", sum.Sum64()), len(host.lines)
 }
 
-// goldenDigests holds one digest a seed, of the decisions as they were when this test was written. What restructures the
-// code keeps them all; only a commit that means to change a decision may change one, and says which and why.
+// goldenDigests holds a digest for each seed, of the decisions as they were when this test was written. A change of
+// structure keeps them all; only a commit that means to change a decision may change one, and says which and why.
 var goldenDigests = []string{
 	"33784ffbf1e52c68", "00f89f2e1cd5f8df", "97f8af3a5fd8be41", "11e128bd3e7ef039",
 	"66c0d57fa95f350c", "ad800599189e0222", "1327ed5465c2f455", "7d357706767af94d",
@@ -258,8 +258,8 @@
 	"2663b3807c1c71be", "54c012b4f1dffd47", "1731de63ebaf98a6", "e447b98c3b2ec4b9",
 }
 
-// TestDecisionsAreUnchanged plays random events of all kinds under random settings, and compares every action with its
-// arguments and its time, and the counters at the end, with those of the recorded run.
+// A change of structure must not change a decision. Random events of all kinds, under random settings, have to lead to
+// the recorded actions with their arguments and times, and to the recorded counters.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	for seed, want := range goldenDigests {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -1,14 +1,13 @@
 package policy
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
 
 const ms = time.Millisecond
 
-// sentAttempt is one attempt that a test host was asked to start.
+// sentAttempt is an attempt that a fakeHost was asked to send.
 type sentAttempt struct {
 	id           RequestID
 	to           EndpointID
@@ -16,80 +15,38 @@
 	writeTimeout time.Duration
 }
 
-// fakeHost records the actions of a Balancer.
+// fakeHost records what a Balancer asks of its host.
 type fakeHost struct {
 	sends        []sentAttempt
-	rejected     map[RequestID]time.Duration
+	rejected     map[RequestID]time.Duration // with the Retry-After
 	failed       map[RequestID]bool
 	cancelled    []RequestID
-	timers       []time.Duration
 	healthChecks []EndpointID
 	idleCloses   []EndpointID
 	polls        int
 	broadcasts   []GossipMessage
 	log          []HealthEvent
-	trace        []string
 }
 
 func newFakeHost() *fakeHost {
 	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
-func (h *fakeHost) record(format string, args ...any) {
-	h.trace = append(h.trace, fmt.Sprintf(format, args...))
+func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, writeTimeout time.Duration) {
+	h.sends = append(h.sends, sentAttempt{id, to, timeout, writeTimeout})
 }
 
-func (h *fakeHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.sends = append(h.sends, sentAttempt{id, to, timeout, within})
-	h.record("send %d %d %v", id, to, timeout)
-}
-
-func (h *fakeHost) Reject(id RequestID, pause time.Duration) {
-	h.rejected[id] = pause
-	h.record("refuse %d %v", id, pause)
-}
-
-func (h *fakeHost) Fail(id RequestID) {
-	h.failed[id] = true
-	h.record("fail %d", id)
-}
-
-func (h *fakeHost) Cancel(id RequestID, attempt int) {
-	h.cancelled = append(h.cancelled, id)
-	h.record("cancel %d %d", id, attempt)
-}
-
-func (h *fakeHost) SetTimer(d time.Duration) {
-	h.timers = append(h.timers, d)
-	h.record("wake %v", d)
-}
-
-func (h *fakeHost) HealthCheck(to EndpointID) {
-	h.healthChecks = append(h.healthChecks, to)
-	h.record("probe %d", to)
-}
+func (h *fakeHost) Reject(id RequestID, retryAfter time.Duration) { h.rejected[id] = retryAfter }
+func (h *fakeHost) Fail(id RequestID)                             { h.failed[id] = true }
+func (h *fakeHost) Cancel(id RequestID, _ int)                    { h.cancelled = append(h.cancelled, id) }
+func (h *fakeHost) SetTimer(time.Duration)                        {}
+func (h *fakeHost) HealthCheck(to EndpointID)                     { h.healthChecks = append(h.healthChecks, to) }
+func (h *fakeHost) CloseIdle(to EndpointID)                       { h.idleCloses = append(h.idleCloses, to) }
+func (h *fakeHost) WatchEndpoints()                               { h.polls++ }
+func (h *fakeHost) Broadcast(m GossipMessage)                     { h.broadcasts = append(h.broadcasts, m) }
+func (h *fakeHost) Log(e HealthEvent)                             { h.log = append(h.log, e) }
 
-func (h *fakeHost) CloseIdle(to EndpointID) {
-	h.idleCloses = append(h.idleCloses, to)
-	h.record("close %d", to)
-}
-
-func (h *fakeHost) WatchEndpoints() {
-	h.polls++
-	h.record("watch")
-}
-
-func (h *fakeHost) Broadcast(n GossipMessage) {
-	h.broadcasts = append(h.broadcasts, n)
-	h.record("tell %+v", n)
-}
-
-func (h *fakeHost) Log(e HealthEvent) {
-	h.log = append(h.log, e)
-	h.record("log %s", e)
-}
-
-// sentTo counts the attempts sent to a server.
+// sentTo counts the attempts sent to an endpoint.
 func (h *fakeHost) sentTo(id EndpointID) int {
 	n := 0
 	for _, s := range h.sends {
@@ -100,7 +57,7 @@
 	return n
 }
 
-// sentFor counts the attempts of a request.
+// sentFor counts the attempts sent for a request.
 func (h *fakeHost) sentFor(id RequestID) int {
 	n := 0
 	for _, s := range h.sends {
@@ -111,7 +68,7 @@
 	return n
 }
 
-// The classes of testConfig.
+// The classes of testConfig, named after what repeating a request may do.
 const (
 	idempotentClass = iota
 	dedupEverywhereClass
@@ -120,15 +77,26 @@
 	nonIdempotentClass
 )
 
+// testConfig is that of one of two balancers, with two tenants and a class for each kind of idempotency.
 func testConfig() Config {
-	class := func(e Idempotency, s DedupScope) Class {
-		return Class{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: 700 * ms}
+	class := func(idempotency Idempotency, scope DedupScope) Class {
+		return Class{
+			LatencyObjective: time.Second,
+			Deadline:         3 * time.Second,
+			PriorityWeight:   1,
+			Idempotency:      idempotency,
+			DedupScope:       scope,
+			DedupWindow:      700 * ms,
+		}
 	}
 	return Config{
 		Balancers: 2,
 		Classes: []Class{
-			class(Idempotent, DedupEverywhere), class(IdempotentByKey, DedupEverywhere), class(IdempotentByKey, DedupInZone), class(IdempotentByKey, DedupInCell),
-			class(NonIdempotent, DedupEverywhere),
+			idempotentClass:      class(Idempotent, DedupEverywhere),
+			dedupEverywhereClass: class(IdempotentByKey, DedupEverywhere),
+			dedupInZoneClass:     class(IdempotentByKey, DedupInZone),
+			dedupInCellClass:     class(IdempotentByKey, DedupInCell),
+			nonIdempotentClass:   class(NonIdempotent, DedupEverywhere),
 		},
 		Tenants:           []Tenant{{Weight: 0.75, Quota: 75}, {Weight: 0.25, Quota: 25}},
 		Slots:             8,
@@ -143,6 +111,7 @@
 	}
 }
 
+// ready returns list entries of ready endpoints with equal weights.
 func ready(ids ...EndpointID) []Endpoint {
 	var list []Endpoint
 	for _, id := range ids {
@@ -151,7 +120,7 @@
 	return list
 }
 
-// start makes a Balancer that holds a list of servers.
+// start makes a Balancer and has it start with a list of endpoints.
 func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
@@ -170,17 +139,17 @@
 	return b, h
 }
 
-// submit hands in a request of tenant 0.
+// submit passes a request of tenant 0.
 func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
-// finish ends an attempt of a request.
-func finish(b *Balancer, now time.Duration, id RequestID, attempt int, e Result) {
-	b.Outcome(now, Outcome{RequestID: id, Attempt: attempt, Result: e, Answered: e == Succeeded})
+// finish passes the outcome of an attempt.
+func finish(b *Balancer, now time.Duration, id RequestID, attempt int, result Result) {
+	b.Outcome(now, Outcome{RequestID: id, Attempt: attempt, Result: result, Answered: result == Succeeded})
 }
 
-// resetAdmission has admission begin anew, where a test is not about it.
+// resetAdmission has admission forget what it counted, in tests that are not about it.
 func resetAdmission(b *Balancer) {
 	for i := range b.admission.demand {
 		d := &b.admission.demand[i]
@@ -188,15 +157,32 @@
 	}
 }
 
-// largeFleetConfig is like the settings of the days at size.
+// largeFleetConfig is like the settings of a fleet of hundreds of balancers.
 func largeFleetConfig(balancers int) Config {
-	class := func(worth float64, e Idempotency) Class {
-		return Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: worth, Idempotency: e, DedupWindow: 6 * time.Second}
+	class := func(priority float64, idempotency Idempotency) Class {
+		return Class{
+			LatencyObjective: 500 * ms,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   priority,
+			Idempotency:      idempotency,
+			DedupWindow:      6 * time.Second,
+		}
 	}
 	return Config{
-		Balancers: balancers, Classes: []Class{class(1, Idempotent), class(8, IdempotentByKey)},
-		Tenants:     []Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
-		MaxAttempts: 6, CanCancel: true, CanGossip: true, MaxRetryAfter: 2 * time.Second, ClientsMarkRetries: true, EventInterval: ms,
-		PollsEndpoints: true, PollInterval: 10 * time.Second, SlowStartFraction: 0.32, SlowStartDuration: 8400 * ms, OverloadFactor: 4, CrossZoneCost: 0.12,
+		Balancers:          balancers,
+		Classes:            []Class{class(1, Idempotent), class(8, IdempotentByKey)},
+		Tenants:            []Tenant{{Weight: 0.42, Quota: 764}, {Weight: 0.33, Quota: 600}, {Weight: 0.25, Quota: 455}},
+		MaxAttempts:        6,
+		CanCancel:          true,
+		CanGossip:          true,
+		MaxRetryAfter:      2 * time.Second,
+		ClientsMarkRetries: true,
+		EventInterval:      ms,
+		PollsEndpoints:     true,
+		PollInterval:       10 * time.Second,
+		SlowStartFraction:  0.32,
+		SlowStartDuration:  8400 * ms,
+		OverloadFactor:     4,
+		CrossZoneCost:      0.12,
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,240 +7,289 @@
 	"time"
 )
 
-// ruleChecker drives a Balancer with legal events in arbitrary order and checks the
-// rules at every action. It models no server timing: it picks what happens.
+// ruleChecker is a Host that checks the rules at every action of a Balancer. It keeps count of the requests and the
+// endpoints by itself, so that a mistake in the Balancer's own state does not hide from it.
 type ruleChecker struct {
-	t              testing.TB
-	cfg            Config
-	b              *Balancer
-	now            time.Duration
-	next           RequestID
-	requests       map[RequestID]*trackedRequest
-	order          []RequestID // ids of held, in order, so that a run can be repeated
-	endpoints      map[EndpointID]Endpoint
-	trace          []string
-	watches        int
-	requestTimes   []time.Duration // requests, for the budget
-	retryTimes     []time.Duration // further attempts
-	stableList     bool            // the list changes seldom
-	blockedUntil   map[uint64]time.Duration
-	slowStartSends map[EndpointID][]time.Duration // sends to a server that is cold, since it was listed so
-	closeBy        map[EndpointID]time.Duration   // when idle connections must be closed, by server
-}
-
-// trackedRequest is what the world knows of one request.
+	t         testing.TB
+	cfg       Config
+	b         *Balancer
+	now       time.Duration
+	requests  map[RequestID]*trackedRequest
+	order     []RequestID // keys of requests, in order of arrival, so that a run can be repeated
+	endpoints map[EndpointID]Endpoint
+	trace     []string // the actions
+
+	requestTimes   []time.Duration                // of all requests, for the retry budget
+	retryTimes     []time.Duration                // of all retries
+	blockedUntil   map[uint64]time.Duration       // by key
+	slowStartSends map[EndpointID][]time.Duration // since the endpoint was listed as started
+	closeBy        map[EndpointID]time.Duration   // when idle connections to a draining endpoint must be closed
+}
+
+func newRuleChecker(t testing.TB, cfg Config, now time.Duration) *ruleChecker {
+	return &ruleChecker{
+		t:              t,
+		cfg:            cfg,
+		now:            now,
+		requests:       map[RequestID]*trackedRequest{},
+		endpoints:      map[EndpointID]Endpoint{},
+		blockedUntil:   map[uint64]time.Duration{},
+		slowStartSends: map[EndpointID][]time.Duration{},
+		closeBy:        map[EndpointID]time.Duration{},
+	}
+}
+
+// trackedRequest is what a ruleChecker knows of one request.
 type trackedRequest struct {
-	request  Request
+	Request
 	deadline time.Duration
 	attempts []trackedAttempt
-	answered bool
-	number   int // place among the requests taken
+	answered bool // or its client has gone
 }
 
+// trackedAttempt is what a ruleChecker knows of one attempt.
 type trackedAttempt struct {
-	endpoint Endpoint
+	endpoint Endpoint // as listed when it was sent
 	sentAt   time.Duration
 	result   Result
 	inFlight bool
 }
 
-func (a *trackedRequest) firstEffective() *trackedAttempt {
-	for i := range a.attempts {
-		if e := a.attempts[i].result; a.attempts[i].inFlight || (e != Rejected && e != ConnectFailed && e != NotSent) {
-			return &a.attempts[i]
+// firstEffective returns the first attempt that may have run or may be running, or nil.
+func (r *trackedRequest) firstEffective() *trackedAttempt {
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		neverRan := a.result == Rejected || a.result == ConnectFailed || a.result == NotSent
+		if a.inFlight || !neverRan {
+			return a
 		}
 	}
 	return nil
 }
 
-func (w *ruleChecker) record(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf(format, args...))
+// inFlight counts the attempts in flight.
+func (r *trackedRequest) inFlight() (n int) {
+	for _, a := range r.attempts {
+		if a.inFlight {
+			n++
+		}
+	}
+	return n
+}
+
+// over says that nothing more can come of a request.
+func (r *trackedRequest) over() bool { return r.answered && r.inFlight() == 0 }
+
+func (c *ruleChecker) record(format string, args ...any) {
+	c.trace = append(c.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *ruleChecker) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
-	w.record("send %d %d %v", id, to, timeout)
-	a, s := w.requests[id], w.endpoints[to]
+func (c *ruleChecker) Send(id RequestID, to EndpointID, timeout, _ time.Duration) {
+	c.record("send %d %d %v", id, to, timeout)
+	r, e := c.requests[id], c.endpoints[to]
+	c.checkAttempt(id, r, e, timeout)
+	c.checkDuplicate(r, e)
+	c.checkKeyOrder(r)
+	c.checkSlowStart(e)
+	c.checkRetryBudget(r)
+	r.attempts = append(r.attempts, trackedAttempt{endpoint: e, sentAt: c.now, inFlight: true})
+}
+
+// checkAttempt checks that an open request is sent to a ready endpoint, within its deadline and number of attempts.
+func (c *ruleChecker) checkAttempt(id RequestID, r *trackedRequest, e Endpoint, timeout time.Duration) {
+	c.t.Helper()
 	switch {
-	case a == nil || a.answered:
-		w.t.Fatalf("rule 1: attempt for request %d, which is over", id)
-	case s.State != Ready:
-		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
-	case timeout <= 0 || w.now+timeout > a.deadline:
-		w.t.Fatalf("rule 1: time-out %v at %v runs past the deadline %v", timeout, w.now, a.deadline)
-	case len(a.attempts) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("attempt %d of at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
-	}
-	class := w.cfg.Classes[a.request.Class]
-	if first := a.firstEffective(); first != nil {
-		switch {
-		case class.Idempotency == NonIdempotent:
-			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Idempotency == IdempotentByKey && w.now-first.sentAt >= class.DedupWindow:
-			w.t.Fatalf("rule 2: keyed request %d sent again %v after the first send", id, w.now-first.sentAt)
-		case class.Idempotency == IdempotentByKey && class.DedupScope == DedupInZone && s.Zone != first.endpoint.Zone,
-			class.Idempotency == IdempotentByKey && class.DedupScope == DedupInCell && s.Cell != first.endpoint.Cell:
-			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
-		}
+	case r == nil || r.answered:
+		c.t.Fatalf("attempt for request %d, which is over", id)
+	case e.State != Ready:
+		c.t.Fatalf("attempt at endpoint %d in state %d", e.ID, e.State)
+	case timeout <= 0 || c.now+timeout > r.deadline:
+		c.t.Fatalf("attempt timeout %v at %v runs past the deadline %v", timeout, c.now, r.deadline)
+	case len(r.attempts) >= c.cfg.MaxAttempts:
+		c.t.Fatalf("attempt %d of at most %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
-	w.checkKeyOrder(a)
-	w.checkSlowStart(s)
-	if out := a.inFlight(); out > 0 { // no setting that allows two is known to the module
-		w.t.Fatalf("rule 2: request %d sent while %d of its attempts are out", id, out)
-	}
-	if b := w.cfg.RetryBudget; len(a.attempts) > 0 && b.Interval > 0 {
-		w.retryTimes = append(w.retryTimes, w.now)
-		n, taken := 0, 0
-		for _, t := range w.retryTimes {
-			if t >= w.now-b.Interval {
-				n++
-			}
-		}
-		for _, t := range w.requestTimes {
-			if t > w.now-b.Interval {
-				taken++
-			}
+}
+
+// checkDuplicate checks that no request runs twice whose class forbids it.
+func (c *ruleChecker) checkDuplicate(r *trackedRequest, e Endpoint) {
+	c.t.Helper()
+	if n := r.inFlight(); n > 0 { // no setting allows two
+		c.t.Fatalf("request %d sent while %d of its attempts are in flight", r.ID, n)
+	}
+	class, first := c.cfg.Classes[r.Class], r.firstEffective()
+	if first == nil {
+		return
+	}
+	switch class.Idempotency {
+	case NonIdempotent:
+		c.t.Fatalf("request %d, not idempotent, sent again though it may have run", r.ID)
+	case IdempotentByKey:
+		if c.now-first.sentAt >= class.DedupWindow {
+			c.t.Fatalf("request %d, idempotent by key, sent again %v after the first attempt", r.ID, c.now-first.sentAt)
 		}
-		if float64(n) > b.MinRetries+b.RetryRatio*float64(taken)+1e-6 {
-			w.t.Fatalf("rule 6: %d further attempts in %v, in which %d requests were taken", n, b.Interval, taken)
+		otherZone := class.DedupScope == DedupInZone && e.Zone != first.endpoint.Zone
+		otherCell := class.DedupScope == DedupInCell && e.Cell != first.endpoint.Cell
+		if otherZone || otherCell {
+			c.t.Fatalf("request %d, idempotent by key, sent outside its scope", r.ID)
 		}
 	}
-	a.attempts = append(a.attempts, trackedAttempt{endpoint: s, sentAt: w.now, inFlight: true})
 }
 
-// inFlight counts the attempts that are out.
-func (a *trackedRequest) inFlight() (n int) {
-	for _, tr := range a.attempts {
-		if tr.inFlight {
-			n++
+// checkRetryBudget checks that the retries of an interval stay within the budget of its requests.
+func (c *ruleChecker) checkRetryBudget(r *trackedRequest) {
+	c.t.Helper()
+	budget := c.cfg.RetryBudget
+	if len(r.attempts) == 0 || budget.Interval == 0 {
+		return
+	}
+	c.retryTimes = append(c.retryTimes, c.now)
+	retries, requests := 0, 0
+	for _, at := range c.retryTimes {
+		if at >= c.now-budget.Interval {
+			retries++
 		}
 	}
-	return n
+	for _, at := range c.requestTimes {
+		if at > c.now-budget.Interval {
+			requests++
+		}
+	}
+	if float64(retries) > budget.MinRetries+budget.RetryRatio*float64(requests)+1e-6 {
+		c.t.Fatalf("%d retries in %v, in which there were %d requests", retries, budget.Interval, requests)
+	}
 }
 
-// checkSlowStart checks this balancer's part of a cold server's budget, of which it may have an even one at most.
-func (w *ruleChecker) checkSlowStart(s Endpoint) {
-	age := w.now - s.StartedAt
-	if s.StartedAt == 0 || age >= w.cfg.SlowStartDuration {
+// checkSlowStart checks that this balancer sends an endpoint in slow start at most its even part of what that bears.
+func (c *ruleChecker) checkSlowStart(e Endpoint) {
+	c.t.Helper()
+	age := c.now - e.StartedAt
+	if e.StartedAt == 0 || age >= c.cfg.SlowStartDuration {
 		return
 	}
-	w.slowStartSends[s.ID] = append(w.slowStartSends[s.ID], w.now)
-	n := 0
-	for _, at := range w.slowStartSends[s.ID] {
-		if at > w.now-time.Second {
-			n++
+	c.slowStartSends[e.ID] = append(c.slowStartSends[e.ID], c.now)
+	sends := 0
+	for _, at := range c.slowStartSends[e.ID] {
+		if at > c.now-time.Second {
+			sends++
 		}
 	}
 	quota := 0.0
-	for _, t := range w.cfg.Tenants {
+	for _, t := range c.cfg.Tenants {
 		quota += t.Quota
 	}
-	warmth := w.cfg.SlowStartFraction + (1-w.cfg.SlowStartFraction)*float64(age)/float64(w.cfg.SlowStartDuration)
-	if most := 1 + w.cfg.OverloadFactor*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
-		w.t.Fatalf("rule 4: %d sends in a second to server %d, cold for %v, at most %.1f", n, s.ID, age, most)
+	capacityFraction := c.cfg.SlowStartFraction + (1-c.cfg.SlowStartFraction)*float64(age)/float64(c.cfg.SlowStartDuration)
+	if limit := 1 + c.cfg.OverloadFactor*capacityFraction*quota/float64(c.cfg.Balancers); float64(sends) > limit {
+		c.t.Fatalf("%d sends in a second to endpoint %d, in slow start for %v, at most %.1f", sends, e.ID, age, limit)
 	}
 }
 
-// checkKeyOrder checks the order of a key at a send.
-func (w *ruleChecker) checkKeyOrder(a *trackedRequest) {
-	ordered := func(o *trackedRequest) bool {
-		return w.cfg.Classes[o.request.Class].OrderedByKey && o.request.Key == a.request.Key && a.request.Key != 0
+// checkKeyOrder checks that no earlier request of the same key is open, and that the key is not blocked.
+func (c *ruleChecker) checkKeyOrder(r *trackedRequest) {
+	c.t.Helper()
+	ordered := func(other *trackedRequest) bool {
+		return c.cfg.Classes[other.Class].OrderedByKey && other.Key == r.Key && r.Key != 0
 	}
-	if !ordered(a) {
+	if !ordered(r) {
 		return
 	}
-	for id, o := range w.requests {
-		out := slices.ContainsFunc(o.attempts, func(tr trackedAttempt) bool { return tr.inFlight })
-		if o != a && ordered(o) && o.number < a.number && (!o.answered || out) {
-			w.t.Fatalf("rule 5: request %d sent while %d of its key is not over", a.request.ID, id)
+	for id, other := range c.requests {
+		if id < r.ID && ordered(other) && !other.over() { // ids are in order of arrival
+			c.t.Fatalf("request %d sent while %d of its key is not over", r.ID, id)
 		}
 	}
-	if len(a.attempts) == 0 && w.now < w.blockedUntil[a.request.Key] {
-		w.t.Fatalf("rule 5: request %d sent %v before its key has rested", a.request.ID, w.blockedUntil[a.request.Key]-w.now)
+	if len(r.attempts) == 0 && c.now < c.blockedUntil[r.Key] {
+		c.t.Fatalf("request %d sent %v too early after another of its key", r.ID, c.blockedUntil[r.Key]-c.now)
 	}
 }
 
-// checkIdleCloses checks and starts the times in which connections to draining servers are closed.
-func (w *ruleChecker) checkIdleCloses() {
-	for id, until := range w.closeBy {
-		if w.now > until {
-			w.t.Fatalf("rule 7: connections to server %d not closed %v after their time", id, w.now-until)
+// checkIdleCloses checks that idle connections to draining endpoints are closed in time.
+func (c *ruleChecker) checkIdleCloses() {
+	c.t.Helper()
+	for id, by := range c.closeBy {
+		if c.now > by {
+			c.t.Fatalf("connections to endpoint %d not closed, %v late", id, c.now-by)
 		}
 	}
 }
 
-// expectIdleClose starts that time anew: an event at a server that drains.
-func (w *ruleChecker) expectIdleClose(id EndpointID) {
-	if w.cfg.DrainCloseTimeout > 0 && w.endpoints[id].State == Draining {
-		w.closeBy[id] = w.now + w.cfg.DrainCloseTimeout
+// expectIdleClose starts that time anew, if the endpoint drains.
+func (c *ruleChecker) expectIdleClose(id EndpointID) {
+	if c.cfg.DrainCloseTimeout > 0 && c.endpoints[id].State == Draining {
+		c.closeBy[id] = c.now + c.cfg.DrainCloseTimeout
 	}
 }
 
-func (w *ruleChecker) recordAnswer(id RequestID) *trackedRequest {
-	a := w.requests[id]
-	if a == nil || a.answered {
-		w.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
+// recordAnswer checks that a request is answered once, and in time.
+func (c *ruleChecker) recordAnswer(id RequestID) *trackedRequest {
+	c.t.Helper()
+	r := c.requests[id]
+	if r == nil || r.answered {
+		c.t.Fatalf("second answer for request %d, or one for an unknown request", id)
 	}
-	if w.now > a.deadline+20*ms {
-		w.t.Fatalf("rule 1: answered %v after the deadline", w.now-a.deadline)
+	if c.now > r.deadline+20*ms {
+		c.t.Fatalf("answered %v after the deadline", c.now-r.deadline)
 	}
-	a.answered = true
-	return a
+	r.answered = true
+	return r
 }
 
-func (w *ruleChecker) Reject(id RequestID, pause time.Duration) {
-	w.record("refuse %d %v", id, pause)
-	a := w.recordAnswer(id)
-	class := w.cfg.Classes[a.request.Class]
-	if a.firstEffective() != nil && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere) {
-		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
+func (c *ruleChecker) Reject(id RequestID, retryAfter time.Duration) {
+	c.record("reject %d %v", id, retryAfter)
+	r := c.recordAnswer(id)
+	class := c.cfg.Classes[r.Class]
+	harmful := class.Idempotency == NonIdempotent ||
+		class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere
+	if r.firstEffective() != nil && harmful {
+		c.t.Fatalf("request %d rejected though it may have run", id)
 	}
-	if pause < 0 || pause > w.cfg.MaxRetryAfter {
-		w.t.Fatalf("pause %v", pause)
+	if retryAfter < 0 || retryAfter > c.cfg.MaxRetryAfter {
+		c.t.Fatalf("request %d rejected with a Retry-After of %v, want 0 to %v", id, retryAfter, c.cfg.MaxRetryAfter)
 	}
 }
 
-func (w *ruleChecker) Fail(id RequestID)                { w.record("fail %d", id); w.recordAnswer(id) }
-func (w *ruleChecker) Cancel(id RequestID, attempt int) { w.record("cancel %d %d", id, attempt) }
-func (w *ruleChecker) SetTimer(d time.Duration)         { w.record("wake %v", d) }
-func (w *ruleChecker) HealthCheck(to EndpointID)        { w.record("probe %d", to) }
-func (w *ruleChecker) Broadcast(n GossipMessage)        { w.record("tell %+v", n) }
-func (w *ruleChecker) CloseIdle(to EndpointID)          { w.record("close %d", to); delete(w.closeBy, to) }
-func (w *ruleChecker) WatchEndpoints()                  { w.record("watch"); w.watches++ }
-func (w *ruleChecker) Log(e HealthEvent)                { w.record("log %s", e) }
+func (c *ruleChecker) Fail(id RequestID)                { c.record("fail %d", id); c.recordAnswer(id) }
+func (c *ruleChecker) Cancel(id RequestID, attempt int) { c.record("cancel %d %d", id, attempt) }
+func (c *ruleChecker) SetTimer(d time.Duration)         { c.record("timer %v", d) }
+func (c *ruleChecker) HealthCheck(to EndpointID)        { c.record("healthcheck %d", to) }
+func (c *ruleChecker) Broadcast(m GossipMessage)        { c.record("broadcast %+v", m) }
+func (c *ruleChecker) CloseIdle(to EndpointID)          { c.record("close %d", to); delete(c.closeBy, to) }
+func (c *ruleChecker) WatchEndpoints()                  { c.record("watch") }
+func (c *ruleChecker) Log(e HealthEvent)                { c.record("log %s", e) }
 
-// checkSlots checks that no slot leaks and none goes below zero.
-func (w *ruleChecker) checkSlots() {
-	used := make([]int, len(w.cfg.Tenants))
-	out := 0
-	for _, a := range w.requests {
-		for _, tr := range a.attempts {
-			if tr.inFlight {
-				used[a.request.Tenant]++
-				out++
-			}
-		}
+// checkSlots checks that the Balancer counts the attempts in flight as they are: no slot leaks, and none is used twice.
+func (c *ruleChecker) checkSlots() {
+	c.t.Helper()
+	byTenant := make([]int, len(c.cfg.Tenants))
+	total := 0
+	for _, r := range c.requests {
+		byTenant[r.Tenant] += r.inFlight()
+		total += r.inFlight()
 	}
-	for i, c := range w.b.bulkheads.all {
-		if c.used != used[i] || c.used > c.slots || w.b.FreeSlots(i) < 0 {
-			w.t.Fatalf("compartment %d: %d of %d slots used, %d attempts out", i, c.used, c.slots, used[i])
+	for i, h := range c.b.bulkheads.all {
+		if h.used != byTenant[i] || h.used > h.slots || c.b.FreeSlots(i) < 0 {
+			c.t.Fatalf("bulkhead %d: %d of %d slots used, %d attempts in flight", i, h.used, h.slots, byTenant[i])
 		}
 	}
-	if w.b.inFlight != out {
-		w.t.Fatalf("%d attempts counted, %d out", w.b.inFlight, out)
+	if c.b.inFlight != total {
+		c.t.Fatalf("%d attempts counted, %d in flight", c.b.inFlight, total)
 	}
-	for _, s := range w.b.endpoints.all {
-		if s.inFlight < 0 {
-			w.t.Fatalf("server %d holds %d", s.ID, s.inFlight)
+	for _, e := range c.b.endpoints.all {
+		if e.inFlight < 0 {
+			c.t.Fatalf("%d attempts counted at endpoint %d", e.inFlight, e.ID)
 		}
 	}
-	if len(w.order) > 60 { // forget what is over
-		w.order = slices.DeleteFunc(w.order, func(id RequestID) bool {
-			a := w.requests[id]
-			over := a.answered && !slices.ContainsFunc(a.attempts, func(tr trackedAttempt) bool { return tr.inFlight })
-			if over {
-				delete(w.requests, id)
-			}
-			return over
-		})
+}
+
+// dropOver drops the requests that are over, once there are many.
+func (c *ruleChecker) dropOver() {
+	if len(c.order) <= 60 {
+		return
 	}
+	c.order = slices.DeleteFunc(c.order, func(id RequestID) bool {
+		over := c.requests[id].over()
+		if over {
+			delete(c.requests, id)
+		}
+		return over
+	})
 }
--- a/policy/shape_test.go
+++ b/policy/shape_test.go
@@ -11,8 +11,8 @@
 	"unicode/utf8"
 )
 
-// Whoever is on call reads the decisions at night: no file may grow beyond what is read in one go, no function beyond
-// one screen, and the package says at its top what it is.
+// Engineers on call read this package at night: no file may be too long to read in one go, no function longer than a
+// screen, and the package comment says what it is for.
 func TestPackageStaysReadable(t *testing.T) {
 	const maxFileLines, maxColumns, maxFunctionLines = 300, 120, 50
 	paths, err := filepath.Glob("*.go")
