--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -127,3 +128,69 @@
 		t.Fatalf("%d of %d requests were shed long after endpoints had recovered", shut, requests)
 	}
 }
+
+// admissionWith returns an admission whose classes have these demands, for a latency objective of 2 s.
+func admissionWith(demands ...classDemand) admission {
+	return admission{objective: 2, demand: demands}
+}
+
+func TestAdmissionFraction(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		demands []classDemand
+		class   int
+		want    float64
+	}{
+		{"nothing recent", []classDemand{{priority: 1}, {priority: 4}}, 0, 1.5},
+		{"all answered in time", []classDemand{{1, 20, 20}, {4, 0, 0}}, 0, 31.5 / 21},
+		{"higher priority", []classDemand{{1, 20, 8}, {4, 8, 8}}, 1, 25.5 / 9},
+		{"lower priority has what the higher leaves", []classDemand{{1, 20, 8}, {4, 8, 8}}, 0, 17.5 / 21},
+		{"equal priorities", []classDemand{{4, 20, 8}, {4, 8, 8}}, 0, 25.5 / 29},
+		{"nothing remains", []classDemand{{1, 20, 0}, {4, 8, 2}}, 0, -3.5 / 21},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			a := admissionWith(c.demands...)
+			got := a.fraction(0, &class{Class: Class{PriorityWeight: c.demands[c.class].priority}, index: c.class})
+			if math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("fraction %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A response near its latency objective warns of the next, so it counts in part.
+func TestAdmissionCountsLateResponsesInPart(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		remaining time.Duration // of an objective of 800 ms
+		want      float64
+	}{
+		{"most of the objective remains", 700 * ms, 1},
+		{"half of it", 400 * ms, 1},
+		{"a quarter of it", 200 * ms, 0.5},
+		{"nothing", 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			a := admissionWith(classDemand{}, classDemand{})
+			const now = 5 * time.Second
+			cl := &class{Class: Class{LatencyObjective: 800 * ms}, index: 1}
+			a.succeeded(now, &request{class: cl, objectiveAt: now + c.remaining})
+			if got := a.demand[1].goodput; got != c.want || a.demand[0].goodput != 0 {
+				t.Errorf("goodput %v, and %v of another class; want %v and 0", got, a.demand[0].goodput, c.want)
+			}
+		})
+	}
+}
+
+func TestAdmissionDecays(t *testing.T) {
+	a := admissionWith(classDemand{offered: 10, goodput: 4})
+	a.decayedAt = time.Second
+	a.decay(3500 * ms) // 1.25 objectives later
+	if d := a.demand[0]; math.Abs(d.offered-10/math.E) > 1e-9 || math.Abs(d.goodput-4/math.E) > 1e-9 {
+		t.Errorf("offered %v and goodput %v, want a fraction of 1/e of 10 and 4", d.offered, d.goodput)
+	}
+	a.decay(3500 * ms) // no time has passed
+	if d := a.demand[0]; math.Abs(d.offered-10/math.E) > 1e-9 {
+		t.Errorf("offered %v, decayed twice for the same time", d.offered)
+	}
+}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -15,30 +15,30 @@
 // news/op is the messages for each request. Records of earlier measurements use these names and units.
 func BenchmarkRequest(b *testing.B) {
 	for _, peers := range []int{16, 300, 1000, 11000} {
-		for _, servers := range []int{16, 200, 11000} {
-			b.Run(fmt.Sprintf("peers=%d/servers=%d", peers, servers), func(b *testing.B) { benchRequests(b, peers, servers) })
+		for _, endpoints := range []int{16, 200, 11000} {
+			b.Run(fmt.Sprintf("peers=%d/servers=%d", peers, endpoints), func(b *testing.B) { benchRequests(b, peers, endpoints) })
 		}
 	}
 }
 
 // BenchmarkList measures a full update of the endpoint list, a repeated one, and a delta update of one entry.
 func BenchmarkList(b *testing.B) {
-	for _, servers := range []int{16, 200, 11000} {
-		list := benchEndpoints(servers)
-		b.Run(fmt.Sprintf("full/servers=%d", servers), func(b *testing.B) {
+	for _, endpoints := range []int{16, 200, 11000} {
+		list := benchEndpoints(endpoints)
+		b.Run(fmt.Sprintf("full/servers=%d", endpoints), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				start(b, benchConfig(16), list)
 			}
 		})
-		b.Run(fmt.Sprintf("again/servers=%d", servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("again/servers=%d", endpoints), func(b *testing.B) {
 			x, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
 				x.UpdateEndpoints(0, FullUpdate, list)
 			}
 		})
-		b.Run(fmt.Sprintf("delta/servers=%d", servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("delta/servers=%d", endpoints), func(b *testing.B) {
 			x, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -55,8 +55,8 @@
 }
 
 // benchEndpoints returns a list in no order of ids, like that of discovery.
-func benchEndpoints(servers int) (list []Endpoint) {
-	for i := range servers {
+func benchEndpoints(endpoints int) (list []Endpoint) {
+	for i := range endpoints {
 		list = append(list, Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
 	}
 	return list
@@ -91,7 +91,7 @@
 	benchLatency  = 20 * ms
 )
 
-func newRequestBenchmark(b *testing.B, peers, servers int) *requestBenchmark {
+func newRequestBenchmark(b *testing.B, peers, endpoints int) *requestBenchmark {
 	b.Helper()
 	balancer, err := New(benchConfig(peers), 1, new(silentHost))
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	x := &requestBenchmark{Balancer: balancer, now: time.Second, peers: peers, nextPeer: 1}
 	x.Start(x.now)
-	x.UpdateEndpoints(x.now, FullUpdate, benchEndpoints(servers))
+	x.UpdateEndpoints(x.now, FullUpdate, benchEndpoints(endpoints))
 	return x
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// playRequest passes a request, the outcomes of earlier ones, and a timer when it is due.
-func (x *requestBenchmark) playRequest() {
+// runRequest passes a request, the outcomes of earlier ones, and a timer when it is due.
+func (x *requestBenchmark) runRequest() {
 	x.latest++
 	x.Request(x.now, Request{ID: x.latest, Class: int(x.latest % 2), Timeout: time.Second})
 	for ; x.finished+RequestID(benchLatency/benchInterval) < x.latest; x.finished++ {
@@ -127,12 +127,12 @@
 	}
 }
 
-func benchRequests(b *testing.B, peers, servers int) {
-	x := newRequestBenchmark(b, peers, servers)
+func benchRequests(b *testing.B, peers, endpoints int) {
+	x := newRequestBenchmark(b, peers, endpoints)
 	for range 20 * benchRate { // until its rate is known, and as many peers as can have sent a message
 		x.now += benchInterval
 		x.receiveMessages()
-		x.playRequest()
+		x.runRequest()
 	}
 	x.messages = 0
 	before := x.Counters()
@@ -143,7 +143,7 @@
 		begun := time.Now()
 		x.receiveMessages()
 		received := time.Now()
-		x.playRequest()
+		x.runRequest()
 		requestTime += time.Since(received)
 		gossipTime += received.Sub(begun)
 	}
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 )
@@ -125,3 +126,108 @@
 		t.Fatalf("sent %v after a wait, with less than twice the usual latency remaining", h.sends)
 	}
 }
+
+// queued makes requests with these priority weights.
+func queued(priorities ...float64) (requests []*request) {
+	for _, priority := range priorities {
+		requests = append(requests, &request{class: &class{Class: Class{PriorityWeight: priority}}})
+	}
+	return requests
+}
+
+func TestBulkheadResize(t *testing.T) {
+	for _, c := range []struct {
+		name                 string
+		mean, deviations     float64
+		slots, queueCapacity int
+	}{
+		{"no traffic", 0, 2, 1, 1},
+		{"without a margin", 8, 0, 8, 2},
+		{"rounded up", 8.1, 0, 9, 2},
+		{"margin of two deviations", 9, 2, 15, 3},
+		{"queue of 0.15 of the slots", 40, 0, 40, 6},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var h bulkhead
+			if h.resize(c.mean, c.deviations); h.slots != c.slots || h.queueCapacity != c.queueCapacity {
+				t.Errorf("%d slots and a queue of %d, want %d and %d", h.slots, h.queueCapacity, c.slots, c.queueCapacity)
+			}
+		})
+	}
+}
+
+func TestBulkheadsResizeByWeight(t *testing.T) {
+	h := bulkheads{all: make([]bulkhead, 3), slots: 99}
+	h.resize([]Tenant{{Weight: 6}, {Weight: 3}, {Weight: 1}}, 40, 0)
+	if h.all[0].slots != 24 || h.all[1].slots != 12 || h.all[2].slots != 4 || h.slots != 40 {
+		t.Errorf("slots %d, %d and %d, of %d; want 24, 12 and 4 of 40", h.all[0].slots, h.all[1].slots, h.all[2].slots, h.slots)
+	}
+}
+
+func TestBulkheadFull(t *testing.T) {
+	for used, want := range []bool{false, false, true, true} {
+		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
+			h := bulkhead{slots: 2, used: used}
+			if got := h.full(); got != want {
+				t.Errorf("full: %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+func TestBulkheadEvictionCandidate(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		queue    []float64 // priority weights
+		priority float64
+		evicted  int // index in the queue; -1: none, -2: the new request
+	}{
+		{"empty queue", nil, 1, -1},
+		{"capacity remains", []float64{8}, 1, -1},
+		{"higher priority", []float64{8, 1}, 4, 1},
+		{"equal priority", []float64{8, 4}, 4, -2},
+		{"lower priority", []float64{8, 4}, 1, -2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := bulkhead{queueCapacity: 2, queue: queued(c.queue...)}
+			r := queued(c.priority)[0]
+			got := -1
+			switch evicted := h.evictionCandidate(r); {
+			case evicted == r:
+				got = -2
+			case evicted != nil:
+				got = slices.Index(h.queue, evicted)
+			}
+			if got != c.evicted {
+				t.Errorf("evicted %d, want %d", got, c.evicted)
+			}
+		})
+	}
+}
+
+func TestBulkheadQueueOrder(t *testing.T) {
+	requests := queued(1, 8, 1, 8, 4)
+	var h bulkhead
+	for _, r := range requests {
+		h.push(r)
+	}
+	order := func() (order []int) {
+		for _, r := range h.queue {
+			order = append(order, slices.Index(requests, r))
+		}
+		return order
+	}
+	if got := order(); !slices.Equal(got, []int{1, 3, 4, 0, 2}) {
+		t.Fatalf("pushed in the order %v, want by priority and then arrival: 1 3 4 0 2", got)
+	}
+	h.removeQueued(requests[4])
+	h.removeQueued(requests[4]) // not there any more
+	if got := order(); !slices.Equal(got, []int{1, 3, 0, 2}) {
+		t.Fatalf("order %v after a removal, want 1 3 0 2", got)
+	}
+	h.removeQueued(requests[0])
+	h.pushFront(requests[0])
+	if got := order(); !slices.Equal(got, []int{0, 1, 3, 2}) {
+		t.Fatalf("order %v after a request was pushed to the front, want 0 1 3 2", got)
+	}
+}
--- a/policy/clientretry_test.go
+++ b/policy/clientretry_test.go
@@ -78,3 +78,70 @@
 		t.Fatalf("%d remembered, want %d to %d", n, maxAbandoned/2, maxAbandoned)
 	}
 }
+
+func TestFirstTry(t *testing.T) {
+	short, long := &class{Class: Class{Deadline: time.Second}}, &class{Class: Class{Deadline: 3 * time.Second}}
+	tenant, otherTenant := new(bulkhead), new(bulkhead)
+	const startedAt, abandonedAt = 10 * time.Second, 11 * time.Second
+	for _, c := range []struct {
+		name      string
+		retry     request
+		after     time.Duration // since the request was abandoned
+		found     bool
+		remaining int // remembered afterwards
+	}{
+		{"same request", request{class: long, bulkhead: tenant, key: 7}, ms, true, 0},
+		{"other class", request{class: short, bulkhead: tenant, key: 7}, ms, false, 1},
+		{"other tenant", request{class: long, bulkhead: otherTenant, key: 7}, ms, false, 1},
+		{"other key", request{class: long, bulkhead: tenant, key: 8}, ms, false, 1},
+		{"at the deadline", request{class: long, bulkhead: tenant, key: 7}, 3 * time.Second, true, 0},
+		{"after the deadline", request{class: long, bulkhead: tenant, key: 7}, 3*time.Second + 1, false, 0},
+		{"after the deadline of its class only", request{class: short, bulkhead: tenant, key: 7}, 2 * time.Second, false, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			retries := clientRetries{maxDeadline: 3 * time.Second}
+			retries.remember(abandonedAt, &request{class: long, bulkhead: tenant, key: 7, clientStartedAt: startedAt})
+			now := abandonedAt + c.after
+			want := now
+			if c.found {
+				want = startedAt
+			}
+			if got := retries.firstTry(now, &c.retry); got != want {
+				t.Errorf("first try at %v, want %v", got, want)
+			}
+			if n := len(retries.abandoned); n != c.remaining {
+				t.Errorf("%d abandoned requests remain, want %d", n, c.remaining)
+			}
+		})
+	}
+}
+
+// Most clients retry at once, so a retry belongs to the latest request that fits; each of these has one retry.
+func TestFirstTryIsThatOfTheLatestAbandoned(t *testing.T) {
+	retries := clientRetries{maxDeadline: 3 * time.Second}
+	r := &request{class: &class{Class: Class{Deadline: 3 * time.Second}}, bulkhead: new(bulkhead), key: 7}
+	for _, at := range []time.Duration{1 * time.Second, 2 * time.Second} {
+		r.clientStartedAt = at
+		retries.remember(at+100*ms, r)
+	}
+	const now = 2500 * ms
+	for _, want := range []time.Duration{2 * time.Second, 1 * time.Second, now} {
+		if got := retries.firstTry(now, r); got != want {
+			t.Fatalf("first try at %v, want %v", got, want)
+		}
+	}
+}
+
+// When too many requests are remembered, the oldest half goes.
+func TestAbandonedRequestsDropTheOldest(t *testing.T) {
+	var retries clientRetries
+	for key := range uint64(2049) {
+		retries.remember(0, &request{key: key})
+	}
+	if n := len(retries.abandoned); n != 1025 {
+		t.Fatalf("%d remembered, want 1024 and the latest", n)
+	}
+	if first, last := retries.abandoned[0].key, retries.abandoned[1024].key; first != 1024 || last != 2048 {
+		t.Errorf("keys %d to %d remembered, want 1024 to 2048", first, last)
+	}
+}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -160,3 +161,78 @@
 		t.Fatal("the last of four endpoints is not full at more than a fourth of the fleet's attempts and the headroom")
 	}
 }
+
+func TestUnloadedLatency(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		latencies    []time.Duration // of an objective of 1 s
+		min          time.Duration
+		minFractions float64
+	}{
+		{"too few responses", []time.Duration{100 * ms, 200 * ms, 300 * ms}, 0, 0},
+		{"mean of four", []time.Duration{100 * ms, 200 * ms, 300 * ms, 400 * ms}, 250 * ms, 0.25},
+		{"lower mean", []time.Duration{100 * ms, 200 * ms, 300 * ms, 400 * ms, 50 * ms}, 200 * ms, 0.2},
+		{"drifts up slowly", []time.Duration{100 * ms, 200 * ms, 300 * ms, 400 * ms, 50 * ms, time.Second},
+			200*ms + 200*ms/2048, 0.2 + 0.2/2048},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var u unloadedLatency
+			for _, latency := range c.latencies {
+				u.observe(latency, latency.Seconds())
+			}
+			if u.min != c.min || math.Abs(u.minFraction-c.minFractions) > 1e-9 {
+				t.Errorf("lowest mean %v, %v of the objective; want %v and %v", u.min, u.minFraction, c.min, c.minFractions)
+			}
+		})
+	}
+}
+
+func TestCongestionGain(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		since time.Duration // the sample before
+		want  float64       // after a sample of 1 on a mean of 0
+	}{
+		{"frequent samples", 100 * ms, 1.0 / 16},
+		{"every two seconds", 2 * time.Second, 0.2},
+		{"rare samples", 20 * time.Second, 0.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m := congestion{at: time.Minute}
+			m.observe(time.Minute+c.since, 1)
+			if math.Abs(m.meanSquare-c.want) > 1e-9 || m.at != time.Minute+c.since {
+				t.Errorf("mean %v at %v, want %v at %v", m.meanSquare, m.at, c.want, time.Minute+c.since)
+			}
+		})
+	}
+}
+
+func TestLimitFraction(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		endpoints  int // for 16 slots of two balancers, at a quota of 100 requests per second
+		unloaded   unloadedLatency
+		meanSquare float64
+		want       float64
+	}{
+		{"no congestion", 10, unloadedLatency{}, 0, 1},
+		{"at the threshold", 10, unloadedLatency{}, 0.09, 1},
+		{"twice the threshold", 10, unloadedLatency{}, 0.18, 0.5},
+		{"threshold by the unloaded latency", 10, unloadedLatency{minFraction: 0.13}, 2 * 8 * 0.13 * 0.13, 0.5},
+		{"highest threshold", 10, unloadedLatency{minFraction: 0.4}, 2 * 0.42 * 0.42, 0.5},
+		{"more slots than endpoints bear", 2, unloadedLatency{}, 0.09, 2 * 1.7 / 16},
+		{"endpoints bear more by the quota", 2, unloadedLatency{min: 100 * ms}, 0.09, 2 * 1.5 * 5 / 16},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var list []Endpoint
+			for id := range c.endpoints {
+				list = append(list, ready(EndpointID(id+1))...)
+			}
+			b, _ := start(t, testConfig(), list)
+			b.unloaded = c.unloaded
+			if got := b.limitFraction(c.meanSquare); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("fraction %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -43,3 +43,38 @@
 		})
 	}
 }
+
+func TestConfigErrorField(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		field string
+		spoil func(*Config)
+	}{
+		{"negative index", "Index", func(c *Config) { c.Index = -1 }},
+		{"negative cross-zone cost", "OverloadFactor, CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
+		{"negative ordering delay", "OrderingDelay, DrainCloseTimeout", func(c *Config) { c.OrderingDelay = -1 }},
+		{"negative close timeout", "OrderingDelay, DrainCloseTimeout", func(c *Config) { c.DrainCloseTimeout = -1 }},
+		{"negative poll interval", "MaxRetryAfter, EventInterval, PollInterval, SlowStartDuration",
+			func(c *Config) { c.PollInterval = -1 }},
+		{"negative budget interval", "RetryBudget", func(c *Config) { c.RetryBudget.Interval = -1 }},
+		{"budget without an interval", "RetryBudget", func(c *Config) { c.RetryBudget.MinRetries = 1 }},
+		{"infinite retry ratio", "RetryBudget", func(c *Config) { c.RetryBudget = RetryBudget{1, 1, math.Inf(1)} }},
+		{"negative minimum of retries", "RetryBudget", func(c *Config) { c.RetryBudget = RetryBudget{1, -1, 0} }},
+		{"negative window", "Classes[1]", func(c *Config) { c.Classes[1].DedupWindow = -1 }},
+		{"objective per work is not a number", "Classes[4]", func(c *Config) { c.Classes[4].ObjectivePerWork = math.NaN() }},
+		{"negative priority weight", "Classes[0]", func(c *Config) { c.Classes[0].PriorityWeight = -1 }},
+		{"infinite sum of weights", "Tenants", func(c *Config) {
+			c.Tenants = []Tenant{{Weight: math.MaxFloat64}, {Weight: math.MaxFloat64}}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			c.spoil(&cfg)
+			_, err := New(cfg, 1, newFakeHost())
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Field != c.field {
+				t.Errorf("error %v, want one for %s", err, c.field)
+			}
+		})
+	}
+}
--- a/policy/draining_test.go
+++ b/policy/draining_test.go
@@ -1,6 +1,10 @@
 package policy
 
-import "testing"
+import (
+	"slices"
+	"testing"
+	"time"
+)
 
 // An endpoint that drains or is removed stops soon, and whatever is sent to it is lost.
 func TestDrainingEndpointGetsNoAttempts(t *testing.T) {
@@ -56,3 +60,33 @@
 		}
 	})
 }
+
+func TestIdleCloserRepeats(t *testing.T) {
+	cfg := testConfig()
+	cfg.DrainCloseTimeout = 300 * ms
+	b, h := start(t, cfg, ready(1, 2, 3))
+	b.endpoints.find(2).State, b.endpoints.find(3).State = Draining, Draining
+	b.closeIdle(10*ms, b.endpoints.find(3))
+	b.closeIdle(100*ms, b.endpoints.find(2)) // does not postpone what is scheduled
+	if got := b.idleCloser.repeatAt; got != 160*ms {
+		t.Fatalf("repeats at %v, want half of the timeout after the first", got)
+	}
+	for _, step := range []struct {
+		now    time.Duration
+		closed []EndpointID
+	}{
+		{160*ms - 1, nil},
+		{160 * ms, []EndpointID{2, 3}}, // not 1, which is ready
+		{170 * ms, nil},                // once
+	} {
+		h.idleCloses = nil
+		b.closeIdleAgain(step.now)
+		if !slices.Equal(h.idleCloses, step.closed) {
+			t.Errorf("at %v closed idle connections to %v, want %v", step.now, h.idleCloses, step.closed)
+		}
+	}
+	b.closeIdle(200*ms, b.endpoints.find(2))
+	if got := b.idleCloser.repeatAt; got != 350*ms {
+		t.Errorf("then repeats at %v, want 350ms", got)
+	}
+}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -69,7 +69,7 @@
 	b          *Balancer
 	next       RequestID
 	requestIDs []RequestID
-	reports    bool // probes and answers bring whole load reports
+	reports    bool // health checks and outcomes bring load reports
 	slow       int  // how much slower answers are for now
 }
 
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -134,3 +134,158 @@
 		}
 	})
 }
+
+// newTestGossip is that of balancer 0 of four, at a latency objective of half a second.
+func newTestGossip() gossip {
+	return newGossip(Config{Balancers: 4, CanGossip: true}, 0.5)
+}
+
+func TestGossipNextMessage(t *testing.T) {
+	g := newTestGossip()
+	g.record(0, 0.2)
+	g.record(0, 0.4)
+	m, ok := g.nextMessage(time.Second, 30)
+	if !ok || m.SentAt != time.Second || m.RequestRate != 30 || m.Responses != 2 || math.Abs(m.Congestion-0.3) > 1e-9 {
+		t.Fatalf("message %+v (%v), want 2 responses with a mean congestion of 0.3", m, ok)
+	}
+	for round, want := range []bool{true, false, false, false, true, false} { // without responses
+		if m, ok := g.nextMessage(2*time.Second, 30); ok != want || m.Responses != 0 {
+			t.Errorf("empty round %d: message %+v (%v), want one: %v", round, m, ok, want)
+		}
+	}
+	g.record(0, 9)
+	if m, ok := g.nextMessage(3*time.Second, 30); !ok || m.Congestion != 4 {
+		t.Errorf("message %+v (%v), want the congestion limited to 4", m, ok)
+	}
+	if m, ok := g.nextMessage(4*time.Second, 30); !ok || m.Responses != 0 {
+		t.Errorf("message %+v (%v), want the first empty one after responses", m, ok)
+	}
+}
+
+func TestGossipDisabledRecordsNothing(t *testing.T) {
+	g := newTestGossip()
+	g.enabled = false
+	g.record(0, 0.2)
+	if g.ownResponses != 0 || g.fleetResponses != 0 {
+		t.Errorf("%v own and %v responses of the fleet recorded, want none", g.ownResponses, g.fleetResponses)
+	}
+}
+
+func TestGossipPlausible(t *testing.T) {
+	const now = time.Hour
+	for _, c := range []struct {
+		name string
+		from int
+		edit func(m *GossipMessage)
+		want bool
+	}{
+		{"as usual", 1, func(*GossipMessage) {}, true},
+		{"last peer", 3, func(*GossipMessage) {}, true},
+		{"beyond the last peer", 4, func(*GossipMessage) {}, false},
+		{"from itself", 0, func(*GossipMessage) {}, false},
+		{"two objectives old", 1, func(m *GossipMessage) { m.SentAt = now - time.Second }, true},
+		{"older", 1, func(m *GossipMessage) { m.SentAt = now - time.Second - 1 }, false},
+		{"clock ahead within the tolerance", 1, func(m *GossipMessage) { m.SentAt = now + 100*ms }, true},
+		{"clock ahead by more", 1, func(m *GossipMessage) { m.SentAt = now + 100*ms + 1 }, false},
+		{"newer than the latest", 2, func(m *GossipMessage) { m.SentAt = now - 500*ms + 1 }, true},
+		{"sent with the latest", 2, func(m *GossipMessage) { m.SentAt = now - 500*ms }, false},
+		{"highest rate", 1, func(m *GossipMessage) { m.RequestRate = math.MaxUint32 }, true},
+		{"rate too high", 1, func(m *GossipMessage) { m.RequestRate = math.MaxUint32 + 1 }, false},
+		{"most responses", 1, func(m *GossipMessage) { m.Responses = math.MaxUint16 }, true},
+		{"too many responses", 1, func(m *GossipMessage) { m.Responses = math.MaxUint16 + 1 }, false},
+		{"highest congestion", 1, func(m *GossipMessage) { m.Congestion = 4 }, true},
+		{"congestion too high", 1, func(m *GossipMessage) { m.Congestion = 4.01 }, false},
+		{"negative congestion", 1, func(m *GossipMessage) { m.Congestion = -0.01 }, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := newTestGossip()
+			g.peers[2].sentAt = now - 500*ms
+			m := GossipMessage{SentAt: now, RequestRate: 30, Responses: 5, Congestion: 0.1}
+			c.edit(&m)
+			if got := g.accept(now, c.from, m); got != c.want || g.received != c.want {
+				t.Errorf("accepted: %v, noted as received: %v, want %v", got, g.received, c.want)
+			}
+		})
+	}
+}
+
+func TestGossipCongestion(t *testing.T) {
+	const own = 0.9
+	for _, c := range []struct {
+		name      string
+		responses float64 // of a peer, with a congestion of 0.1
+		after     time.Duration
+		want      float64
+	}{
+		{"no message", 0, 0, own},
+		{"enough responses", 8, 0, 0.1},
+		{"too few", 7, 0, own},
+		{"enough half a second later", 22, 500 * ms, 0.1}, // 22/e
+		{"too few half a second later", 21, 500 * ms, own},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const now = time.Hour
+			g := newTestGossip()
+			if c.responses > 0 {
+				g.accept(now, 1, GossipMessage{SentAt: now, Responses: c.responses, Congestion: 0.1})
+			}
+			if got := g.congestion(now+c.after, own); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("congestion %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestGossipFleetMeanWeighsByResponses(t *testing.T) {
+	g := newTestGossip()
+	g.record(0, 0.5)
+	g.accept(0, 1, GossipMessage{SentAt: 1, Responses: 9, Congestion: 0.1})
+	if got := g.congestion(0, 0); math.Abs(got-0.14) > 1e-9 {
+		t.Errorf("congestion %v of one response at 0.5 and nine at 0.1, want 0.14", got)
+	}
+}
+
+func TestGossipDemandShare(t *testing.T) {
+	const now = time.Hour
+	for _, c := range []struct {
+		name     string
+		received bool
+		peerRate float64
+		peerSent time.Duration
+		ownRate  float64
+		quota    float64
+		want     float64
+	}{
+		{"no message", false, 0, 0, 90, 100, 0.25},
+		{"unknown quota", true, 30, now, 90, 0, 0.25},
+		{"one peer known, two count evenly", true, 30, now, 20, 100, 0.2},
+		{"message at the end of its life", true, 30, now - 5*time.Second, 20, 100, 0.2},
+		{"older message", true, 55, now - 5*time.Second - 1, 25, 100, 0.25},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := newTestGossip()
+			g.received = c.received
+			g.peers[1] = peer{sentAt: c.peerSent, requestRate: c.peerRate}
+			if got := g.demandShare(now, c.ownRate, c.quota); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("share %v, want %v", got, c.want)
+			}
+		})
+	}
+	t.Run("little traffic of all", func(t *testing.T) {
+		g := newTestGossip()
+		g.received = true
+		for i := range g.peers {
+			g.peers[i].sentAt = now
+		}
+		if got := g.demandShare(now, 2, 100); math.Abs(got-2.0/25) > 1e-9 {
+			t.Errorf("share %v, want 2 of the even 25", got)
+		}
+	})
+	t.Run("no message of peers just after the start", func(t *testing.T) {
+		g := newTestGossip()
+		g.received = true
+		if got := g.demandShare(time.Second, 20, 100); math.Abs(got-20.0/95) > 1e-9 {
+			t.Errorf("share %v, want 20 beside three even parts of 25", got)
+		}
+	})
+}
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -161,3 +161,74 @@
 		t.Fatalf("%d health checks, none of which succeeded; want at most %d", len(h.healthChecks), 2*comparisonsNeeded)
 	}
 }
+
+func TestReportSampler(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		changed     []bool // by comparison
+		becameFresh int    // by this comparison; -1: by none
+		done        bool
+	}{
+		{"three changes", []bool{true, true, true}, 2, false},
+		{"four changes", []bool{true, true, true, true}, 2, true},
+		{"one without a change", []bool{true, false, true, true}, 3, true},
+		{"two without a change", []bool{true, false, false, true}, -1, true},
+		{"too few comparisons", []bool{true, true}, -1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var s reportSampler
+			becameFresh := -1
+			for i, changed := range c.changed {
+				if s.compared(changed) {
+					if becameFresh >= 0 {
+						t.Errorf("became fresh by comparison %d and again by %d", becameFresh, i)
+					}
+					becameFresh = i
+				}
+			}
+			if becameFresh != c.becameFresh || s.fresh() != (c.becameFresh >= 0) || s.done() != c.done {
+				t.Errorf("became fresh by comparison %d, fresh: %v, done: %v; want %d, %v and %v",
+					becameFresh, s.fresh(), s.done(), c.becameFresh, c.becameFresh >= 0, c.done)
+			}
+		})
+	}
+}
+
+func TestReportsFull(t *testing.T) {
+	const (
+		now  = time.Minute
+		part = 12.0 // of the only endpoint: all that the fleet has in flight at the quotas
+	)
+	for _, c := range []struct {
+		name           string
+		reportedAt     time.Duration
+		othersInFlight float64
+		inFlight       int // of this balancer
+		healthChecks   int
+		want           bool
+	}{
+		{"at the headroom", now, part + 2, 0, 0, true},
+		{"below the headroom", now, part + 1.9, 0, 0, false},
+		{"with this balancer's attempts", now, part, 2, 0, true},
+		{"recent report", now - 250*ms + 1, part + 2, 0, 0, true},
+		{"old report", now - 250*ms, part + 2, 0, 0, false},
+		{"old report, waited for two others", now - 250*ms, 0, 0, 2, false},
+		{"old report, waited for three others", now - 250*ms, 0, 0, 3, true},
+		{"no report, waited for three others", 0, 0, 0, 3, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, _ := start(t, reportingConfig(), ready(1))
+			e := b.endpoints.find(1)
+			e.reportedAt, e.othersInFlight, e.inFlight = c.reportedAt, c.othersInFlight, c.inFlight
+			if got := b.reportsFull(now, &request{healthChecks: c.healthChecks}, e); got != c.want {
+				t.Errorf("full: %v, want %v", got, c.want)
+			}
+		})
+	}
+	t.Run("no report just after the start, waited for three others", func(t *testing.T) {
+		b, _ := start(t, reportingConfig(), ready(1))
+		if !b.reportsFull(ms, &request{healthChecks: 3}, b.endpoints.find(1)) {
+			t.Error("an endpoint that has never reported counts as reporting no load")
+		}
+	})
+}
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -73,3 +73,98 @@
 		t.Fatalf("sends %+v, want the request behind the one that waits for its key", h.sends[n:])
 	}
 }
+
+func TestKeyIsBlockedAfterAttemptsThatMayBeRunning(t *testing.T) {
+	const now, delay = time.Second, 50 * ms
+	for _, c := range []struct {
+		name   string
+		result Result
+		before time.Duration // blocked until this already
+		want   time.Duration
+	}{
+		{"succeeded", Succeeded, 0, 0},
+		{"server error", ServerError, 0, 0},
+		{"rejected", Rejected, 0, 0},
+		{"connect failed", ConnectFailed, 0, 0},
+		{"not sent", NotSent, 0, 0},
+		{"timed out", TimedOut, 0, now + delay},
+		{"connection lost", ConnectionLost, 0, now + delay},
+		{"cancelled", Cancelled, 0, now + delay},
+		{"blocked for longer already", Cancelled, 2 * time.Second, 2 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := keyOrdering{delay: delay}
+			r := &request{keyQueue: &keyQueue{blockedUntil: c.before}}
+			o.attemptEnded(now, r, c.result)
+			if got := r.keyQueue.blockedUntil; got != c.want {
+				t.Errorf("blocked until %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestFirstOfKey(t *testing.T) {
+	const now = time.Second
+	for _, c := range []struct {
+		name         string
+		behind       bool // another request of the key
+		attempts     int
+		blockedUntil time.Duration
+		want         bool
+	}{
+		{"first", false, 0, 0, true},
+		{"behind another", true, 0, 0, false},
+		{"blocked", false, 0, now + 1, false},
+		{"not blocked any more", false, 0, now, true},
+		{"own retry while blocked", false, 1, now + 1, true},
+		{"own retry behind another", true, 1, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := keyOrdering{queues: map[uint64]*keyQueue{}}
+			if c.behind {
+				o.join(now, &request{key: 9}, 0)
+			}
+			r := &request{key: 9, attempts: make([]attempt, c.attempts)}
+			o.join(now, r, 0)
+			r.keyQueue.blockedUntil = c.blockedUntil
+			if got := r.firstOfKey(now); got != c.want {
+				t.Errorf("first of its key: %v, want %v", got, c.want)
+			}
+		})
+	}
+	t.Run("without a key queue", func(t *testing.T) {
+		if !new(request).firstOfKey(now) {
+			t.Error("a request that need not run in order is not first")
+		}
+	})
+}
+
+// The queues of keys that nobody uses any more must not add up in memory. One that is blocked or has requests stays, or
+// the order of its key would be lost.
+func TestUnusedKeyQueuesAreRemoved(t *testing.T) {
+	const now = time.Second
+	for _, c := range []struct {
+		name             string
+		queues, requests int
+		remaining        int
+	}{
+		{"few queues", 64, 0, 65},
+		{"many queues", 65, 0, 3},
+		{"many requests", 66, 1, 67},
+		{"more queues than twice the requests", 67, 1, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := keyOrdering{queues: map[uint64]*keyQueue{}}
+			for key := range uint64(c.queues) {
+				o.queues[key+100] = &keyQueue{blockedUntil: now} // over now
+			}
+			o.queues[100].blockedUntil = now + 1
+			o.queues[101].waiting = []*request{{}}
+			o.join(now, &request{key: 1}, c.requests)
+			if len(o.queues) != c.remaining || o.queues[100] == nil || o.queues[101] == nil {
+				t.Errorf("%d queues remain, the blocked one: %v, the one with a request: %v; want %d and both",
+					len(o.queues), o.queues[100] != nil, o.queues[101] != nil, c.remaining)
+			}
+		})
+	}
+}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -110,3 +111,31 @@
 		})
 	}
 }
+
+func TestEjectionDoubles(t *testing.T) {
+	const now = time.Second
+	e := new(endpoint)
+	for failure, want := range []time.Duration{0, 20 * ms, 40 * ms, 80 * ms, 160 * ms, 320 * ms, 640 * ms, 640 * ms} {
+		e.recordFailure(now)
+		if want > 0 {
+			want += now
+		}
+		if e.ejectedUntil != want {
+			t.Errorf("failure %d: ejected until %v, want %v", failure+1, e.ejectedUntil, want)
+		}
+	}
+}
+
+func TestIsOutlier(t *testing.T) {
+	for _, c := range []struct {
+		relativeLatency float64
+		want            bool
+	}{{1, false}, {3.99, false}, {4, true}, {8, true}} {
+		t.Run(fmt.Sprintf("relative latency %v", c.relativeLatency), func(t *testing.T) {
+			e := &endpoint{relativeLatency: c.relativeLatency}
+			if got := e.isOutlier(); got != c.want {
+				t.Errorf("outlier: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -88,3 +88,49 @@
 		t.Fatalf("first sends: %d to light endpoints, %d to heavy ones, at most %d to one", light, heavy, highest)
 	}
 }
+
+func TestPickerTaken(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		virtualTime, turn float64
+		wantTime, next    float64
+	}{
+		{"in turn", 5, 6, 6, 8},
+		{"a late turn", 5, 3, 5, 7},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p, e := picker{virtualTime: c.virtualTime}, &endpoint{nextTurn: c.turn}
+			p.taken(e, 2)
+			if p.virtualTime != c.wantTime || e.nextTurn != c.next {
+				t.Errorf("virtual time %v, next turn %v; want %v and %v", p.virtualTime, e.nextTurn, c.wantTime, c.next)
+			}
+		})
+	}
+}
+
+func TestTurnGap(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		edit func(e *endpoint)
+		want float64
+	}{
+		{"as usual", func(*endpoint) {}, 1},
+		{"twice the weight", func(e *endpoint) { e.Weight = 2 }, 0.5},
+		{"four times the latency", func(e *endpoint) { e.relativeLatency = 4 }, 8},
+		{"slower still", func(e *endpoint) { e.relativeLatency = 7 }, 8},
+		{"a quarter of the latency", func(e *endpoint) { e.relativeLatency = 0.25 }, math.Pow(0.5, 1.5)},
+		{"other zone", func(e *endpoint) { e.Zone = 2 }, 4},
+		{"in the middle of slow start", func(e *endpoint) { e.slowStartUntil = 4 * time.Second }, 1 / 0.65},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.CrossZoneCost = 0.02
+			b, _ := start(t, cfg, ready(1))
+			e := b.endpoints.find(1)
+			c.edit(e)
+			if got := b.turnGap(0, e); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("gap %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -63,7 +63,7 @@
 	}
 	for range 600 {
 		w.now += 5 * ms
-		w.timeOutAttempts()
+		w.expireAttempts()
 		b.TimerFired(w.now)
 		w.checkSlots()
 		w.dropOver()
@@ -86,7 +86,7 @@
 	if w.cfg.CanGossip && w.pick(4) == 0 {
 		w.receiveGossip()
 	}
-	w.timeOutAttempts()
+	w.expireAttempts()
 	switch w.pick(10) {
 	case 0, 1, 2:
 		w.submitRequest()
@@ -166,8 +166,8 @@
 		Outcome{RequestID: id, Attempt: number, Result: result, Answered: r.answered, Report: w.loadReport(int(id))})
 }
 
-// timeOutAttempts fires the Balancer's timer, and ends the attempts of requests at their deadline.
-func (w *randomEvents) timeOutAttempts() {
+// expireAttempts fires the Balancer's timer, and ends the attempts of requests at their deadline.
+func (w *randomEvents) expireAttempts() {
 	w.b.TimerFired(w.now)
 	for _, id := range w.order {
 		r := w.requests[id]
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -79,3 +79,23 @@
 		t.Fatalf("sends %v: want 1 s for the unmarked one, and 500 ms for the marked one", h.sends)
 	}
 }
+
+func TestLatestStart(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		meanLatency time.Duration // of an objective of 1 s
+		want        time.Duration // before the response is of no use
+	}{
+		{"twice the usual latency", 125 * ms, 250 * ms},
+		{"at most half of the objective", 400 * ms, 500 * ms},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const usefulUntil = time.Minute
+			r := request{usefulUntil: usefulUntil,
+				class: &class{Class: Class{LatencyObjective: time.Second}, meanLatency: c.meanLatency}}
+			if got := r.latestStart(); got != usefulUntil-c.want {
+				t.Errorf("latest start %v before, want %v", usefulUntil-got, c.want)
+			}
+		})
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -249,3 +249,48 @@
 		})
 	}
 }
+
+func TestRetryBudgetExhausted(t *testing.T) {
+	const now = 5 * time.Second
+	for _, c := range []struct {
+		name     string
+		budget   RetryBudget
+		requests slidingWindow
+		retries  slidingWindow
+		want     bool
+	}{
+		{"no budget", RetryBudget{}, nil, slidingWindow{now, now, now}, false},
+		{"no retries", RetryBudget{Interval: time.Second}, slidingWindow{now, now}, nil, true},
+		{"minimum not used", RetryBudget{Interval: time.Second, MinRetries: 2}, nil, slidingWindow{now}, false},
+		{"minimum used", RetryBudget{Interval: time.Second, MinRetries: 2}, nil, slidingWindow{now, now}, true},
+		{"ratio not used", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now, now}, nil, false},
+		{"ratio needs another request", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now}, nil, true},
+		{"minimum and ratio", RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5},
+			slidingWindow{now, now}, slidingWindow{now}, false},
+		{"request just an interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1}, slidingWindow{now - time.Second}, nil, true},
+		{"request within the interval", RetryBudget{Interval: time.Second, RetryRatio: 1}, slidingWindow{now - time.Second + 1}, nil, false},
+		{"retry just an interval ago", RetryBudget{Interval: time.Second, MinRetries: 1}, nil, slidingWindow{now - time.Second}, true},
+		{"retry before the interval", RetryBudget{Interval: time.Second, MinRetries: 1}, nil, slidingWindow{now - time.Second - 1}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := retryBudget{RetryBudget: c.budget, requests: c.requests, retries: c.retries}
+			if got := b.exhausted(now); got != c.want {
+				t.Errorf("exhausted: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestRetryBudgetCounts(t *testing.T) {
+	b := retryBudget{RetryBudget: RetryBudget{Interval: time.Second, MinRetries: 1}}
+	b.requestTaken(0)
+	b.retried(0)
+	b.retried(500 * ms)
+	if len(b.requests) != 1 || len(b.retries) != 2 {
+		t.Fatalf("%d requests and %d retries, want 1 and 2", len(b.requests), len(b.retries))
+	}
+	b.requestTaken(1100 * ms) // those at 0 are older than the interval
+	if len(b.requests) != 1 || len(b.retries) != 1 {
+		t.Fatalf("%d requests and %d retries within the interval, want 1 and 1", len(b.requests), len(b.retries))
+	}
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -116,3 +116,30 @@
 		t.Fatalf("slow start until %v, want 8 s after the response; logged %v, want an event", until, h.log)
 	}
 }
+
+func TestCapacityFraction(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		atStart   float64
+		remaining time.Duration // of a slow start of 8 s
+		want      float64
+	}{
+		{"at its start", 0.3, 8 * time.Second, 0.3},
+		{"halfway", 0.3, 4 * time.Second, 0.65},
+		{"at its end", 0.3, 0, 1},
+		{"later", 0.3, -time.Second, 1},
+		{"starts with nothing", 0, 8 * time.Second, 0.05},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const now = time.Minute
+			cfg := testConfig()
+			cfg.SlowStartFraction = c.atStart
+			b, _ := start(t, cfg, ready(1))
+			e := b.endpoints.find(1)
+			e.slowStartUntil = now + c.remaining
+			if got := b.capacityFraction(now, e); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("capacity fraction %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"testing"
 	"time"
 )
@@ -67,3 +68,29 @@
 		t.Fatalf("a subset of %d, and of %d before reports were found fresh", len(b.subset.endpoints), before)
 	}
 }
+
+func TestSubsetSize(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		rate     float64
+		size     float64
+		outgrown bool // by a subset of 8
+	}{
+		{"same size", 4, 8, false},
+		{"a quarter more", 5, 10, false},
+		{"more", 5.1, 10.2, true},
+		{"a quarter less", 3, 6, false},
+		{"less", 2.9, 5.8, true},
+		{"little traffic", 0.1, 4, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := subset{turnInterval: 2, size: 8}
+			if got := s.sizeFor(c.rate); math.Abs(got-c.size) > 1e-9 {
+				t.Errorf("size %v, want %v", got, c.size)
+			}
+			if got := s.outgrown(c.rate); got != c.outgrown {
+				t.Errorf("outgrown: %v, want %v", got, c.outgrown)
+			}
+		})
+	}
+}
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -77,3 +77,62 @@
 		t.Fatalf("%d polls in 10 s, want one at the start and every 4 s", h.polls)
 	}
 }
+
+func TestEndpointWatchBackoff(t *testing.T) {
+	const now = 10 * time.Second
+	for _, c := range []struct {
+		name     string
+		polledAt time.Duration
+		want     time.Duration
+	}{
+		{"the call failed at once", now, now + 2*time.Second},
+		{"the call took a second", now - time.Second, now + time.Second},
+		{"the call took longer than the backoff", now - time.Minute, now + 500*ms},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			w := endpointWatch{polledAt: c.polledAt}
+			w.failed(now, 500*ms, 2*time.Second)
+			if w.pollAt != c.want || w.failures != 1 {
+				t.Errorf("polls at %v after %d failures, want %v after 1", w.pollAt, w.failures, c.want)
+			}
+			if w.due(c.want-1) || !w.due(c.want) {
+				t.Errorf("due just before: %v, at the time: %v; want false and true", w.due(c.want-1), w.due(c.want))
+			}
+			w.succeeded()
+			if w.due(time.Hour) || w.failures != 0 {
+				t.Errorf("due after an update: %v, %d failures; want false and 0", w.due(time.Hour), w.failures)
+			}
+		})
+	}
+}
+
+// Balancers must not poll in step, so each backoff has a random part: half of it either way.
+func TestBackoffGrowsWithJitter(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		failures     int
+		pollInterval time.Duration
+		mean         time.Duration
+	}{
+		{"first failure", 0, 0, 250 * ms},
+		{"second failure", 1, 0, 500 * ms},
+		{"third failure", 2, 0, time.Second},
+		{"many failures", 100, 0, time.Second},
+		{"short poll interval", 100, 400 * ms, 400 * ms},
+		{"long poll interval", 100, time.Minute, time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.PollInterval = c.pollInterval
+			b, _ := start(t, cfg, ready(1))
+			lowest, highest := time.Hour, time.Duration(0)
+			for range 1000 {
+				backoff := b.backoff(c.failures)
+				lowest, highest = min(lowest, backoff), max(highest, backoff)
+			}
+			if lowest < c.mean/2 || lowest > c.mean*6/10 || highest < c.mean*14/10 || highest > c.mean*3/2 {
+				t.Errorf("backoffs from %v to %v, want about %v to %v", lowest, highest, c.mean/2, c.mean*3/2)
+			}
+		})
+	}
+}
