--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -68,7 +68,7 @@
 }
 
 // A request of high priority was rejected because the queue was full of requests of low priority. It has to take the
-// place of the last of these, whose client is told at once, and the next free slot.
+// place of the last of these, whose client is notified at once, and the next free slot.
 func TestHigherPriorityEvictsFromFullQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -164,10 +164,10 @@
 
 func TestUnloadedLatency(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		latencies    []time.Duration // of an objective of 1 s
-		min          time.Duration
-		minFractions float64
+		name        string
+		latencies   []time.Duration // of an objective of 1 s
+		min         time.Duration
+		minFraction float64
 	}{
 		{"too few responses", []time.Duration{100 * ms, 200 * ms, 300 * ms}, 0, 0},
 		{"mean of four", []time.Duration{100 * ms, 200 * ms, 300 * ms, 400 * ms}, 250 * ms, 0.25},
@@ -180,8 +180,8 @@
 			for _, latency := range c.latencies {
 				u.observe(latency, latency.Seconds())
 			}
-			if u.min != c.min || math.Abs(u.minFraction-c.minFractions) > 1e-9 {
-				t.Errorf("lowest mean %v, %v of the objective; want %v and %v", u.min, u.minFraction, c.min, c.minFractions)
+			if u.min != c.min || math.Abs(u.minFraction-c.minFraction) > 1e-9 {
+				t.Errorf("lowest mean %v, %v of the objective; want %v and %v", u.min, u.minFraction, c.min, c.minFraction)
 			}
 		})
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -30,7 +30,12 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: policy.NonIdempotent}},
+		Classes: []policy.Class{{
+			LatencyObjective: time.Second,
+			Deadline:         2 * time.Second,
+			PriorityWeight:   1,
+			Idempotency:      policy.NonIdempotent,
+		}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -182,7 +182,8 @@
 // randomEndpoint draws a list entry. No two zones share a cell.
 func (w *randomEvents) randomEndpoint() Endpoint {
 	id := w.pick(8)
-	e := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id/2%2*2 + id%2, State: EndpointState(w.pick(3)), Weight: float64(w.pick(4))}
+	e := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id/2%2*2 + id%2,
+		State: EndpointState(w.pick(3)), Weight: float64(w.pick(4))}
 	if w.pick(4) == 0 {
 		e.StartedAt = w.now - time.Duration(w.pick(10000))*ms
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -212,7 +212,8 @@
 		}
 		return len(h.sends) - before
 	}
-	if attempts(0, 1, idempotentClass) != 2 || attempts(0, 2, nonIdempotentClass) != 2 || attempts(0, 3, nonIdempotentClass) != 1 {
+	first, second, third := attempts(0, 1, idempotentClass), attempts(0, 2, nonIdempotentClass), attempts(0, 3, nonIdempotentClass)
+	if first != 2 || second != 2 || third != 1 {
 		t.Fatalf("sends %+v: want one retry of the minimum and one for two requests", h.sends)
 	}
 	if _, rejected := h.rejected[3]; !rejected {
@@ -267,10 +268,14 @@
 		{"ratio needs another request", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now}, nil, true},
 		{"minimum and ratio", RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5},
 			slidingWindow{now, now}, slidingWindow{now}, false},
-		{"request just an interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1}, slidingWindow{now - time.Second}, nil, true},
-		{"request within the interval", RetryBudget{Interval: time.Second, RetryRatio: 1}, slidingWindow{now - time.Second + 1}, nil, false},
-		{"retry just an interval ago", RetryBudget{Interval: time.Second, MinRetries: 1}, nil, slidingWindow{now - time.Second}, true},
-		{"retry before the interval", RetryBudget{Interval: time.Second, MinRetries: 1}, nil, slidingWindow{now - time.Second - 1}, false},
+		{"request just an interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1},
+			slidingWindow{now - time.Second}, nil, true},
+		{"request within the interval", RetryBudget{Interval: time.Second, RetryRatio: 1},
+			slidingWindow{now - time.Second + 1}, nil, false},
+		{"retry just an interval ago", RetryBudget{Interval: time.Second, MinRetries: 1},
+			nil, slidingWindow{now - time.Second}, true},
+		{"retry before the interval", RetryBudget{Interval: time.Second, MinRetries: 1},
+			nil, slidingWindow{now - time.Second - 1}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := retryBudget{RetryBudget: c.budget, requests: c.requests, retries: c.retries}
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -201,7 +201,8 @@
 
 // schedule inserts an outcome behind those of the same time.
 func (r *slowStartRun) schedule(o fleetOutcome) {
-	at, _ := slices.BinarySearchFunc(r.outcomes, o.at+1, func(other fleetOutcome, at time.Duration) int { return int(other.at - at) })
+	byTime := func(other fleetOutcome, at time.Duration) int { return int(other.at - at) }
+	at, _ := slices.BinarySearchFunc(r.outcomes, o.at+1, byTime)
 	r.outcomes = slices.Insert(r.outcomes, at, o)
 }
 
