--- /dev/null
+++ b/policy/clientretry_test.go
@@ -0,0 +1,147 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// A client that retries at once has as much time for this try as for its first, but not for the response: its latency
+// objective counts from the first try. Balancers took such retries for first tries, and spent endpoints' work on
+// responses that earned nothing. Retries of another key, and first tries of the same, are not late by that.
+func TestClientRetryIsLateByItsFirstTry(t *testing.T) {
+	cfg := testConfig()
+	cfg.ClientsMarkRetries, cfg.MaxAttempts = true, 1
+	b, h := start(t, cfg, ready(1, 2))
+	b.congestion.meanSquare = 4 // under congestion, late requests are rejected
+	isSent := func(now time.Duration, id RequestID, key uint64, clientRetry bool) bool {
+		before := len(h.sends)
+		b.Request(now, Request{ID: id, Class: idempotentClass, Key: key, Timeout: 2 * time.Second, ClientRetry: clientRetry})
+		return len(h.sends) > before
+	}
+	if !isSent(0, 1, 7, false) {
+		t.Fatal("the first try was not sent")
+	}
+	finish(b, 950*ms, 1, 0, TimedOut) // the latency objective is a second
+	resetAdmission(b)
+	if !isSent(951*ms, 2, 8, true) {
+		t.Error("a retry of another key was rejected as late")
+	}
+	finish(b, 960*ms, 2, 0, Succeeded)
+	if !isSent(961*ms, 3, 7, false) {
+		t.Error("a first try was rejected as late")
+	}
+	finish(b, 970*ms, 3, 0, Succeeded)
+	b.congestion.meanSquare = 4
+	if isSent(971*ms, 4, 7, true) || b.Counters().ExpiredRetries != 1 {
+		t.Errorf("a retry was sent with its latency objective as good as over; %d counted as expired, want 1",
+			b.Counters().ExpiredRetries)
+	}
+	if now := 4 * time.Second; !isSent(now, 5, 7, true) {
+		t.Error("a retry was rejected as late for a request abandoned long ago")
+	}
+	if len(b.clientRetries.abandoned) > 1 {
+		t.Errorf("%d requests abandoned long ago are still remembered", len(b.clientRetries.abandoned))
+	}
+}
+
+// After a fault, admission did not recover: what responses in time had earned was used up by retries that came too late
+// to earn anything, so that the admitted amount could not grow.
+func TestExpiredRetriesTakeNoAdmission(t *testing.T) {
+	cfg := testConfig()
+	cfg.ClientsMarkRetries = true
+	b, h := start(t, cfg, ready(1, 2))
+	b.congestion.meanSquare = 4
+	before := classDemand{priority: b.classes[idempotentClass].PriorityWeight, offered: 40, goodput: 1}
+	b.admission.demand[idempotentClass] = before
+	for id := range RequestID(50) {
+		b.clientRetries.abandoned = append(b.clientRetries.abandoned,
+			abandonedRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
+		b.Request(2*time.Second, Request{ID: id, Class: idempotentClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
+	}
+	if c := b.Counters(); c.ExpiredRetries != 50 || c.Shed != 0 || len(h.rejected) != 50 {
+		t.Errorf("%d expired, %d shed, %d rejected; want 50, 0 and 50", c.ExpiredRetries, c.Shed, len(h.rejected))
+	}
+	if got := b.admission.demand[idempotentClass]; got != before {
+		t.Errorf("admission counts %+v, want %+v as before", got, before)
+	}
+}
+
+// In a long outage every request is abandoned. What is remembered of them must not grow without bound.
+func TestAbandonedRequestsAreBounded(t *testing.T) {
+	cfg := testConfig()
+	cfg.ClientsMarkRetries = true
+	b, _ := start(t, cfg, nil)
+	for id := range RequestID(3 * maxAbandoned) {
+		b.Request(0, Request{ID: id, Class: idempotentClass, Key: uint64(id) + 1, Timeout: time.Second})
+	}
+	if n := len(b.clientRetries.abandoned); n > maxAbandoned || n < maxAbandoned/2 {
+		t.Fatalf("%d remembered, want %d to %d", n, maxAbandoned/2, maxAbandoned)
+	}
+}
+
+func TestFirstTry(t *testing.T) {
+	short, long := &class{Class: Class{Deadline: time.Second}}, &class{Class: Class{Deadline: 3 * time.Second}}
+	tenant, otherTenant := new(bulkhead), new(bulkhead)
+	const startedAt, abandonedAt = 10 * time.Second, 11 * time.Second
+	for _, c := range []struct {
+		name      string
+		retry     request
+		after     time.Duration // since the request was abandoned
+		found     bool
+		remaining int // remembered afterwards
+	}{
+		{"same request", request{class: long, bulkhead: tenant, key: 7}, ms, true, 0},
+		{"other class", request{class: short, bulkhead: tenant, key: 7}, ms, false, 1},
+		{"other tenant", request{class: long, bulkhead: otherTenant, key: 7}, ms, false, 1},
+		{"other key", request{class: long, bulkhead: tenant, key: 8}, ms, false, 1},
+		{"at the deadline", request{class: long, bulkhead: tenant, key: 7}, 3 * time.Second, true, 0},
+		{"after the deadline", request{class: long, bulkhead: tenant, key: 7}, 3*time.Second + 1, false, 0},
+		{"after the deadline of its class only", request{class: short, bulkhead: tenant, key: 7}, 2 * time.Second, false, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			retries := clientRetries{maxDeadline: 3 * time.Second}
+			retries.remember(abandonedAt, &request{class: long, bulkhead: tenant, key: 7, clientStartedAt: startedAt})
+			now := abandonedAt + c.after
+			want := now
+			if c.found {
+				want = startedAt
+			}
+			if got := retries.firstTry(now, &c.retry); got != want {
+				t.Errorf("first try at %v, want %v", got, want)
+			}
+			if n := len(retries.abandoned); n != c.remaining {
+				t.Errorf("%d abandoned requests remain, want %d", n, c.remaining)
+			}
+		})
+	}
+}
+
+// Most clients retry at once, so a retry belongs to the latest request that fits; each of these has one retry.
+func TestFirstTryIsThatOfTheLatestAbandoned(t *testing.T) {
+	retries := clientRetries{maxDeadline: 3 * time.Second}
+	r := &request{class: &class{Class: Class{Deadline: 3 * time.Second}}, bulkhead: new(bulkhead), key: 7}
+	for _, at := range []time.Duration{1 * time.Second, 2 * time.Second} {
+		r.clientStartedAt = at
+		retries.remember(at+100*ms, r)
+	}
+	const now = 2500 * ms
+	for _, want := range []time.Duration{2 * time.Second, 1 * time.Second, now} {
+		if got := retries.firstTry(now, r); got != want {
+			t.Fatalf("first try at %v, want %v", got, want)
+		}
+	}
+}
+
+// When too many requests are remembered, the oldest half goes.
+func TestAbandonedRequestsDropTheOldest(t *testing.T) {
+	var retries clientRetries
+	for key := range uint64(2049) {
+		retries.remember(0, &request{key: key})
+	}
+	if n := len(retries.abandoned); n != 1025 {
+		t.Fatalf("%d remembered, want 1024 and the latest", n)
+	}
+	if first, last := retries.abandoned[0].key, retries.abandoned[1024].key; first != 1024 || last != 2048 {
+		t.Errorf("keys %d to %d remembered, want 1024 to 2048", first, last)
+	}
+}
