--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,8 +4,8 @@
 // nested JSON in a sidecar's configuration file (ParseJSON). Both are reduced to values by path, such as
 // "classes.0.name", which typed accessors convert on demand.
 //
-// PolicyConfig maps the settings' own key names (orgs, semantics, aim_ms, ...) to the terms of
-// policy.Config. This mapping happens here, once, and nowhere else.
+// PolicyConfig and SidecarConfig map the settings' own key names (orgs, semantics, aim_ms, ...) to the terms
+// of this code. This mapping happens here, once, and nowhere else.
 package settings
 
 import (
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -196,3 +196,37 @@
 		t.Errorf("error %v, want a json.SyntaxError at offset 2", err)
 	}
 }
+
+func TestSidecarConfig(t *testing.T) {
+	const usable = "classes.count=2\nclasses.0.name=entry\nclasses.1.name=exit\norgs.count=1\norgs.0.name=north\nzones=a,b\n" +
+		"caps.max_open=100\ncaps.conn_idle_ms=30000\ncaps.dial_timeout_ms=250\nrules.stop_sending_within_ms=1000\n"
+	config, err := parse(t, usable).SidecarConfig()
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := SidecarConfig{
+		ClassNames: []string{"entry", "exit"}, TenantNames: []string{"north"}, ZoneNames: []string{"a", "b"}, ReportFormat: config.ReportFormat,
+		MaxInFlight: 100, ServerIdleTimeout: 30 * time.Second, DialTimeout: 250 * time.Millisecond, DrainGrace: time.Second,
+	}
+	if !reflect.DeepEqual(config, want) {
+		t.Errorf("config %+v, want %+v", config, want)
+	}
+	for name, test := range map[string]struct {
+		line string
+		key  string
+		err  error
+	}{
+		"idle timeout missing":  {"caps.conn_idle_ms=", "caps.conn_idle_ms", ErrNotPositive},
+		"dial timeout negative": {"caps.dial_timeout_ms=-1", "caps.dial_timeout_ms", ErrNotPositive},
+		"limit negative":        {"caps.max_open=-1", "caps.max_open", ErrNegative},
+		"count of classes":      {"classes.count=1.5", "classes.count", ErrNotCount},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := parse(t, usable+test.line+"\n").SidecarConfig()
+			var value *ValueError
+			if !errors.As(err, &value) || value.Key != test.key || !errors.Is(err, test.err) {
+				t.Errorf("error %v, want one of %s: %v", err, test.key, test.err)
+			}
+		})
+	}
+}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -3,12 +3,10 @@
 package sidecar
 
 import (
-	"fmt"
 	"log/slog"
 	"math"
 	"net/netip"
 	"os"
-	"strings"
 	"time"
 
 	"cranehatch/internal/endpointlist"
@@ -115,7 +113,7 @@
 }
 
 // applySettings reads the settings: those of the policy, and what the sidecar needs besides. The settings' names are
-// mapped to the policy's terms where they are read, in Settings.PolicyConfig.
+// mapped to the terms of this code in package settings.
 func (c *Config) applySettings(file *configFile) error {
 	if len(file.Settings) == 0 {
 		return &ConfigError{Field: "settings", Err: errMissing}
@@ -127,50 +125,24 @@
 	if c.Policy, err = s.PolicyConfig(); err != nil {
 		return &ConfigError{Err: err}
 	}
-	c.Classes = indexByName(settingNames(s, "classes"))
-	c.Tenants = indexByName(settingNames(s, "orgs"))
-	c.Zones = indexByName(strings.Split(s.Text("zones"), ","))
-	c.ReportFormat = s.ReportFormat()
-	c.MaxInFlight = int(s.Number("caps.max_open"))
-	c.ServerIdleTimeout = s.Duration("caps.conn_idle_ms")
-	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
-	c.DrainGrace = s.Duration("rules.stop_sending_within_ms")
 	for _, class := range c.Policy.Classes {
 		c.MaxDeadline = max(c.MaxDeadline, class.Deadline)
 	}
-	if err := s.Err(); err != nil {
+	own, err := s.SidecarConfig()
+	if err != nil {
 		return &ConfigError{Err: err}
 	}
-	return c.validateSettings()
-}
-
-func (c *Config) validateSettings() error {
-	for _, setting := range []struct {
-		field string
-		value time.Duration
-	}{
-		{"settings: caps.conn_idle_ms", c.ServerIdleTimeout},
-		{"settings: caps.dial_timeout_ms", c.DialTimeout},
-	} {
-		if setting.value <= 0 {
-			return &ConfigError{Field: setting.field, Err: fmt.Errorf("%v is not above 0", setting.value)}
-		}
-	}
-	if c.MaxInFlight < 0 {
-		return &ConfigError{Field: "settings: caps.max_open", Err: fmt.Errorf("%d is negative", c.MaxInFlight)}
-	}
+	c.Classes = indexByName(own.ClassNames)
+	c.Tenants = indexByName(own.TenantNames)
+	c.Zones = indexByName(own.ZoneNames)
+	c.ReportFormat = own.ReportFormat
+	c.MaxInFlight = own.MaxInFlight
+	c.ServerIdleTimeout = own.ServerIdleTimeout
+	c.DialTimeout = own.DialTimeout
+	c.DrainGrace = own.DrainGrace
 	return nil
 }
 
-// settingNames returns the names of a list of objects in the settings.
-func settingNames(s *settings.Settings, list string) []string {
-	names := make([]string, s.Count(list+".count"))
-	for i := range names {
-		names[i] = s.Text(fmt.Sprintf("%s.%d.name", list, i))
-	}
-	return names
-}
-
 func indexByName(names []string) map[string]int {
 	byName := make(map[string]int, len(names))
 	for i, name := range names {
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -64,7 +64,7 @@
 // addRequest enters a request that the Balancer does not know, so that the test decides for it.
 func (l *eventLoop) addRequest(id policy.RequestID) (*request, chan response) {
 	reply := make(chan response, 1)
-	r := &request{outbound: testMessage("1"), reply: reply, deadline: l.now + generous}
+	r := &request{outbound: newTestOutboundRequest("1"), reply: reply, deadline: l.now + generous}
 	l.requests[id] = r
 	return r, reply
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -29,8 +29,8 @@
 // cancel abandons the exchange. If its request is not yet being written, it will not be.
 func (x *exchange) cancel() { x.abandon(policy.Cancelled, false) }
 
-// withhold abandons the exchange with an outcome, unless its request is being written already.
-func (x *exchange) withhold(outcome policy.Result) { x.abandon(outcome, true) }
+// abandonUnwritten abandons the exchange with an outcome, unless its request is being written already.
+func (x *exchange) abandonUnwritten(outcome policy.Result) { x.abandon(outcome, true) }
 
 func (x *exchange) abandon(outcome policy.Result, onlyUnwritten bool) {
 	x.mu.Lock()
@@ -112,7 +112,7 @@
 // dials and right before the request is written.
 func (t *transport) connectToWrite(x *exchange, to *endpoint, request *outboundRequest, writeDeadline time.Duration) (*conn, error) {
 	if request.abandoned() {
-		x.withhold(policy.NotSent)
+		x.abandonUnwritten(policy.NotSent)
 		return nil, errAbandoned
 	}
 	c, err := t.connect(x, to, writeDeadline)
@@ -122,7 +122,7 @@
 	// A connection may come up after the write deadline. A repeat that is written then may run a second
 	// time, as servers no longer drop it: see policy.Host.Send.
 	if request.abandoned() || t.clock.now() >= writeDeadline {
-		x.withhold(policy.NotSent)
+		x.abandonUnwritten(policy.NotSent)
 	}
 	if !x.beginWrite(func() { c.Conn.Close() }) {
 		t.putIdle(to, c) // unused
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -269,7 +269,7 @@
 	for o.sinceReturn() < notifiedAfter+countedFor { // it returns, as calls go on being made
 		time.Sleep(requestInterval)
 		reply := make(chan response, 1)
-		l.submit(policy.Request{Class: cfg.Classes["look"]}, testMessage("1"), l.clock.now()+generous, reply)
+		l.submit(policy.Request{Class: cfg.Classes["look"]}, newTestOutboundRequest("1"), l.clock.now()+generous, reply)
 		<-reply
 	}
 	cancel()
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -66,7 +66,7 @@
 	r.closed = true
 	for _, x := range r.attempts {
 		if x != nil {
-			x.withhold(policy.Cancelled)
+			x.abandonUnwritten(policy.Cancelled)
 		}
 	}
 	if final != nil {
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -73,7 +73,7 @@
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	reply := make(chan response, 1)
-	id := l.submit(policy.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
+	id := l.submit(policy.Request{Class: 0}, newTestOutboundRequest("1"), l.now+generous, reply)
 	l.runNextEvent(t)
 	wait(t, "the request", s.seen)
 	l.clientGone(id)
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -126,7 +126,7 @@
 	defer t.mu.Unlock()
 	for x, server := range t.unwritten {
 		if server == to {
-			x.withhold(policy.NotSent)
+			x.abandonUnwritten(policy.NotSent)
 		}
 	}
 }
--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -19,7 +19,7 @@
 	return tr
 }
 
-func testMessage(id string) *outboundRequest {
+func newTestOutboundRequest(id string) *outboundRequest {
 	return &outboundRequest{
 		method: http.MethodPost,
 		uri:    "/reading",
@@ -39,7 +39,7 @@
 func startAttemptWithin(t *testing.T, tr *transport, to *endpoint, id string, timeout time.Duration) (*exchange, <-chan attemptResult) {
 	t.Helper()
 	done := make(chan attemptResult, 2)
-	x := tr.send(to, testMessage(id), tr.clock.now()+timeout, 0, func(r attemptResult) { done <- r })
+	x := tr.send(to, newTestOutboundRequest(id), tr.clock.now()+timeout, 0, func(r attemptResult) { done <- r })
 	return x, done
 }
 
@@ -139,7 +139,7 @@
 	expectCancelled := func() {
 		t.Helper()
 		deadline := tr.clock.now() + generous
-		_, outcome := tr.roundTrip(x, s.host, testMessage("2"), deadlines{response: deadline, write: deadline})
+		_, outcome := tr.roundTrip(x, s.host, newTestOutboundRequest("2"), deadlines{response: deadline, write: deadline})
 		if outcome != policy.Cancelled {
 			t.Errorf("outcome %v, want %v", outcome, policy.Cancelled)
 		}
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -77,9 +77,9 @@
 
 // bulkheads are those of all tenants, by their numbers.
 type bulkheads struct {
-	all   []bulkhead
-	slots int // of all
-	first int // where the latest round over the queues began
+	all        []bulkhead
+	slots      int // of all
+	roundStart int // where the latest round over the queues began
 }
 
 // resize sets the slots of all bulkheads. total is how many attempts are in
@@ -133,11 +133,11 @@
 // all bulkheads first, and among equals one bulkhead after the other.
 func (b *Balancer) serveQueues(now time.Duration) {
 	h := &b.bulkheads
-	h.first = (h.first + 1) % len(h.all)
+	h.roundStart = (h.roundStart + 1) % len(h.all)
 	for priority := math.Inf(1); priority >= 0; {
 		next := noPriority
 		for i := range h.all {
-			waiting := &h.all[(h.first+i)%len(h.all)]
+			waiting := &h.all[(h.roundStart+i)%len(h.all)]
 			next = max(next, b.serveQueue(now, waiting, priority))
 		}
 		priority = next
--- a/policy/config.go
+++ b/policy/config.go
@@ -91,7 +91,7 @@
 
 // ConfigError says which field of a Config cannot be used, and why.
 type ConfigError struct {
-	Field  string // e.g. "Classes[2].Deadline"; several are separated by commas
+	Field  string // e.g. "Classes[2]"
 	Reason string
 }
 
@@ -128,14 +128,30 @@
 		return configError("Slots", "is %d, it must not be negative", c.Slots)
 	case unusable(c.SlowStartFraction) || c.SlowStartFraction > 1:
 		return configError("SlowStartFraction", "is %v, it must be from 0 to 1", c.SlowStartFraction)
-	case unusable(c.OverloadFactor) || unusable(c.CrossZoneCost):
-		return configError("OverloadFactor, CrossZoneCost", "are %v and %v, they must be numbers from 0",
-			c.OverloadFactor, c.CrossZoneCost)
-	case min(c.OrderingDelay, c.DrainCloseTimeout) < 0:
-		return configError("OrderingDelay, DrainCloseTimeout", "are %v and %v, they must not be negative",
-			c.OrderingDelay, c.DrainCloseTimeout)
-	case min(c.MaxRetryAfter, c.EventInterval, c.PollInterval, c.SlowStartDuration) < 0:
-		return configError("MaxRetryAfter, EventInterval, PollInterval, SlowStartDuration", "must not be negative")
+	case unusable(c.OverloadFactor):
+		return configError("OverloadFactor", "is %v, it must be a number from 0", c.OverloadFactor)
+	case unusable(c.CrossZoneCost):
+		return configError("CrossZoneCost", "is %v, it must be a number from 0", c.CrossZoneCost)
+	}
+	return c.validateDurations()
+}
+
+// validateDurations checks that no time is negative.
+func (c *Config) validateDurations() error {
+	for _, d := range []struct {
+		field string
+		value time.Duration
+	}{
+		{"OrderingDelay", c.OrderingDelay},
+		{"DrainCloseTimeout", c.DrainCloseTimeout},
+		{"MaxRetryAfter", c.MaxRetryAfter},
+		{"EventInterval", c.EventInterval},
+		{"PollInterval", c.PollInterval},
+		{"SlowStartDuration", c.SlowStartDuration},
+	} {
+		if d.value < 0 {
+			return configError(d.field, "is %v, it must not be negative", d.value)
+		}
 	}
 	return nil
 }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -51,10 +51,10 @@
 		spoil func(*Config)
 	}{
 		{"negative index", "Index", func(c *Config) { c.Index = -1 }},
-		{"negative cross-zone cost", "OverloadFactor, CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
-		{"negative ordering delay", "OrderingDelay, DrainCloseTimeout", func(c *Config) { c.OrderingDelay = -1 }},
-		{"negative close timeout", "OrderingDelay, DrainCloseTimeout", func(c *Config) { c.DrainCloseTimeout = -1 }},
-		{"negative poll interval", "MaxRetryAfter, EventInterval, PollInterval, SlowStartDuration",
+		{"negative cross-zone cost", "CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
+		{"negative ordering delay", "OrderingDelay", func(c *Config) { c.OrderingDelay = -1 }},
+		{"negative close timeout", "DrainCloseTimeout", func(c *Config) { c.DrainCloseTimeout = -1 }},
+		{"negative poll interval", "PollInterval",
 			func(c *Config) { c.PollInterval = -1 }},
 		{"negative budget interval", "RetryBudget", func(c *Config) { c.RetryBudget.Interval = -1 }},
 		{"budget without an interval", "RetryBudget", func(c *Config) { c.RetryBudget.MinRetries = 1 }},
