--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -46,7 +46,7 @@
 	for _, test := range []struct{ name, setting, field string }{
 		{"negative retry ratio", "rules.further_ratio=-1\nrules.budget_span_ms=1000\n", "Budget"},
 		{"retry ratio without interval", "rules.further_ratio=0.2\n", "Budget"},
-		{"negative close timeout", "rules.let_go_in_ms=-5\n", "DrainCloseTimeout"},
+		{"negative close timeout", "rules.let_go_in_ms=-5\n", "IdleCloseTimeout"},
 		{"delay not a number", "rules.order_settle_ms=x\n", "rules.order_settle_ms"},
 		{"slow-start fraction above 1", "rules.cold_from=2\n", "SlowStartFraction"},
 	} {
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -99,7 +99,6 @@
 		Attempt:   event.Attempt,
 		Result:    event.Result,
 		Answered:  event.Answered,
-		Report:    i.reportFormat.Decode(event.Report),
 	})
 	return nil
 }
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -226,7 +226,7 @@
 // withHealthChecks allows health checks and closing of idle connections, which testConfig does not.
 func withHealthChecks() Config {
 	cfg := testConfig(3, 20, 20)
-	cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.DrainCloseTimeout = true, policy.HasInFlight, 100*ms
+	cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.IdleCloseTimeout = true, policy.HasInFlight, 100*ms
 	return cfg
 }
 
--- a/internal/settings/policyconfig.go
+++ b/internal/settings/policyconfig.go
@@ -42,7 +42,7 @@
 // readTiming reads intervals and delays.
 func (s *Settings) readTiming(config *policy.Config) {
 	config.OrderingDelay = s.Duration("rules.order_settle_ms")
-	config.DrainCloseTimeout = s.Duration("rules.let_go_in_ms")
+	config.IdleCloseTimeout = s.Duration("rules.let_go_in_ms")
 	config.EventInterval = s.Duration("period_ms")
 	config.PollsEndpoints = s.Text("discovery") == "ask"
 	config.PollInterval = s.Duration("rules.ask_within_ms")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -70,7 +70,7 @@
 	want := policy.Config{
 		Balancers: 3, Zone: 2, MaxAttempts: 3, CanCancel: true, CanHealthCheck: true, PollsEndpoints: true,
 		SlowStartFraction: 0.32, CrossZoneCost: 0.03,
-		DrainCloseTimeout: 300 * time.Millisecond, OrderingDelay: 250 * time.Millisecond,
+		IdleCloseTimeout: 300 * time.Millisecond, OrderingDelay: 250 * time.Millisecond,
 		RetryBudget: policy.RetryBudget{Interval: 10 * time.Second, MinRetries: 1, RetryRatio: 0.2},
 		Classes: []policy.Class{
 			{
--- a/internal/sidecar/acceptor.go
+++ b/internal/sidecar/acceptor.go
@@ -111,7 +111,7 @@
 	a.notifyFreed()
 }
 
-// markActive takes that a connection is not idle any more. The caller holds the lock.
+// markActive is called when a connection is not idle any more. The caller holds the lock.
 func (a *acceptor) markActive(c *clientConn) {
 	if c.idleElement != nil {
 		a.idle.Remove(c.idleElement)
@@ -119,7 +119,7 @@
 	}
 }
 
-// markIdle takes that a connection has no open request any more. The caller holds the lock.
+// markIdle is called when a connection has no open request any more. The caller holds the lock.
 func (a *acceptor) markIdle(c *clientConn) {
 	if c.idleElement == nil {
 		c.idleSince = time.Now()
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -28,7 +28,7 @@
 	reading   bool           // net/http is in Read
 	pipelined bool           // net/http's latest read was of one byte, as its background read is
 	monitor   *clientMonitor // of the open request; nil: no handler waits for a response
-	buffered  []byte         // read by the monitor, not yet by net/http. Of whichever of the two reads
+	buffered  []byte         // read by the monitor, not yet by net/http. Owned by whichever of the two reads
 }
 
 // Read is for net/http alone.
--- a/internal/sidecar/clientmonitor_test.go
+++ b/internal/sidecar/clientmonitor_test.go
@@ -172,7 +172,7 @@
 					t.Errorf("%d requests in the table, want none", len(n.loop.requests))
 				}
 				clientGone(n.loop.clock.now())
-				n.loop.reportUnsent()
+				n.loop.reportDeniedSends()
 				sent := len(n.server.seen) + len(n.rejecting.seen)
 				if sent > 0 || stage != "dialing" && len(n.gate.started) > 0 {
 					t.Errorf("%d sent and %d dials for a client that has disconnected", sent, len(n.gate.started))
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -44,9 +44,10 @@
 	// ServerIdleTimeout is after how long servers close an idle connection; the transport closes it a little before.
 	ServerIdleTimeout time.Duration
 
-	// DrainGrace is the time from the announcement of a drain in which sends to that server must stop; 0: not known.
-	// Sends stop when the update arrives, whatever this value. It decides one thing: how long the discovery client
-	// may pause between two calls where lists are pushed, see newDiscoveryClient.
+	// DrainGrace (drain_grace_ms of a site) is the time from the announcement of a drain in which sends to that server
+	// must stop; 0: not known. Sends stop when the update arrives, whatever this value. Where lists are pushed it
+	// bounds how late an update may arrive: the pause between two calls, and the interval of hedged ones, see
+	// newDiscoveryClient.
 	DrainGrace time.Duration
 }
 
@@ -107,7 +108,7 @@
 	}
 	var err error
 	if c.CachedEndpoints, err = endpointlist.Parse(file.Known, c.Zones); err != nil {
-		slog.Error("the cached endpoint list can't be used, discovery is asked for the full list",
+		slog.Error("the cached endpoint list in the configuration file can't be used",
 			"error", &ConfigError{Field: "known", Err: err})
 	}
 }
--- a/internal/sidecar/config_file.go
+++ b/internal/sidecar/config_file.go
@@ -35,7 +35,8 @@
 	PeerListen string `json:"peer_listen"`
 	// PeersAll is the IP:port (UDP) from where the platform passes a datagram on to all other sidecars.
 	PeersAll string `json:"peers_all"`
-	// Peers are the IP:port from which the other sidecars send; a sidecar's number is its place in this list.
+	// Peers are the IP:port from which the sidecars of the service send, this one's among them, in the order of their
+	// numbers.
 	Peers []string `json:"peers"`
 
 	Limits configLimits `json:"limits"`
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -16,7 +16,7 @@
 	logger.LogAttrs(t.Context(), slog.LevelInfo, "counters", newTestLoopFor(t, cfg).counters()...)
 	for _, key := range []string{
 		"policy.round_robin_sends=", "policy.diverted_sends=", "policy.concurrency_limited=", "policy.shed=",
-		"policy.cross_zone_sends=", "policy.retries=", "policy.expired_retries=", "policy.queued=", "policy.gossip_sent=",
+		"policy.cross_zone_sends=", "policy.retries=", "policy.late_rejected=", "policy.queued=", "policy.gossip_sent=",
 		"policy.gossip_received=", "policy.gossip_dropped=", "policy.rejected=", "policy.failed=",
 		"transport.open_connections=", "transport.dialed_connections=", "transport.stale_connections=",
 		"gossip.sent=", "gossip.lost=", "gossip.received=", "gossip.unknown_sender=", "gossip.malformed=",
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -54,7 +54,7 @@
 type discoveryClient struct {
 	zones   map[string]int
 	updated func(endpointlist.List) // takes each update, on run's goroutine
-	failed  func()                  // takes that following the list has failed, on run's goroutine
+	failed  func()                  // called when following the list has failed, on run's goroutine
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 
 	// An item asks for the list. nil: the list is pushed, so it is followed from the start and after each failure.
@@ -65,7 +65,7 @@
 	callInterval  time.Duration        // see hedgedCallInterval
 	maxBackoff    time.Duration
 
-	version int64 // of the list known from the followed address; below 0: none, or not to be built on. Of run's goroutine
+	version int64 // of the list known from the followed address; below 0: none, or not to be built on. Owned by run's goroutine
 
 	mu            sync.Mutex
 	address       string
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -17,7 +17,7 @@
 	l.post(func(time.Duration) { l.applyEndpoints(update, kind) })
 }
 
-// endpointsFailed takes that a call to discovery has failed, on the discovery client's goroutine. It blocks as
+// endpointsFailed is called when a call to discovery has failed, on the discovery client's goroutine. It blocks as
 // post does.
 func (l *eventLoop) endpointsFailed() {
 	l.post(func(now time.Duration) { l.balancer.UpdateEndpoints(now, policy.UpdateFailed, nil) })
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -70,7 +70,7 @@
 			l.runNextEvent(t)
 			l.now += longerThanRetryPause
 			l.balancer.TimerFired(l.now)
-			l.reportUnsent()
+			l.reportDeniedSends()
 			if len(l.requests) != 2 || len(s.seen) > 0 || len(rejecting.seen) != 1 {
 				t.Errorf("%d requests wait, %d sent to one server, %d to the other, want 2, 0 and 1 before the update",
 					len(l.requests), len(s.seen), len(rejecting.seen))
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -37,12 +37,12 @@
 
 	// The rest belongs to the loop's goroutine.
 
-	now            time.Duration // the time of the event being run
-	requests       map[policy.RequestID]*request
-	endpoints      map[policy.EndpointID]*endpoint // the servers listed and not removed
-	unsentOutcomes []policy.Outcome                // see reportUnsent
-	timersAt       []time.Duration                 // when TimerFired is to be called, ascending, no duplicates
-	timer          *time.Timer                     // set for the first of timersAt
+	now         time.Duration // the time of the event being run
+	requests    map[policy.RequestID]*request
+	endpoints   map[policy.EndpointID]*endpoint // the servers listed and not removed
+	deniedSends []policy.Outcome                // see reportDeniedSends
+	timersAt    []time.Duration                 // when TimerFired is to be called, ascending, no duplicates
+	timer       *time.Timer                     // set for the first of timersAt
 }
 
 func newEventLoop(cfg *Config, c clock, t *transport) (*eventLoop, error) {
@@ -75,7 +75,7 @@
 	counters := time.NewTicker(countersInterval)
 	defer counters.Stop()
 	for {
-		l.reportUnsent()
+		l.reportDeniedSends()
 		select {
 		case event := <-l.events:
 			l.now = l.clock.now()
@@ -152,7 +152,7 @@
 		slog.Uint64("shed", c.Shed),
 		slog.Uint64("cross_zone_sends", c.CrossZoneSends),
 		slog.Uint64("retries", c.Retries),
-		slog.Uint64("expired_retries", c.ExpiredRetries),
+		slog.Uint64("late_rejected", c.LateRejected),
 		slog.Uint64("queued", c.Queued),
 		slog.Uint64("gossip_sent", c.GossipSent),
 		slog.Uint64("gossip_received", c.GossipReceived),
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -47,7 +47,7 @@
 	event := l.takeEvent(t, "an event")
 	l.now = l.clock.now()
 	event(l.now)
-	l.reportUnsent()
+	l.reportDeniedSends()
 }
 
 // updateEndpoints applies a full list of servers in one state, at addresses, with the ids s-0, s-1 and so on.
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	l.applyEndpoints(update, policy.FullUpdate)
-	l.reportUnsent()
+	l.reportDeniedSends()
 }
 
 // addRequest enters a request that the Balancer does not know, so that the test decides for it.
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -21,7 +21,7 @@
 type exchange struct {
 	mu        sync.Mutex
 	abandoned bool
-	outcome   policy.Result // of an abandoned exchange
+	result    policy.Result // of an abandoned exchange
 	written   bool          // some of its request may have been sent
 	stop      func()        // interrupts the current step: cancels the dial or closes the connection
 }
@@ -39,7 +39,7 @@
 		return
 	}
 	if !x.abandoned {
-		x.abandoned, x.outcome = true, outcome
+		x.abandoned, x.result = true, outcome
 	}
 	if x.stop != nil {
 		x.stop()
@@ -77,7 +77,7 @@
 func (x *exchange) abandonedAs() (outcome policy.Result, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.outcome, x.abandoned
+	return x.result, x.abandoned
 }
 
 // roundTrip carries out an exchange: it sends a request once and reads the response. Without a complete
@@ -85,13 +85,13 @@
 func (t *transport) roundTrip(x *exchange, to *endpoint, request *outboundRequest, limits deadlines) (*serverResponse, policy.Result) {
 	c, err := t.connectToWrite(x, to, request, limits.write)
 	if err != nil {
-		return nil, t.unsentOutcome(x, limits, err)
+		return nil, t.resultBeforeWrite(x, limits, err)
 	}
 	t.unregisterUnwritten(x)
 	writeBegan := t.clock.now()
 	if err := t.writeRequest(c, request, writeBegan, limits.response); err != nil {
 		t.discard(c)
-		return nil, t.unsentOutcome(x, limits, err)
+		return nil, t.resultBeforeWrite(x, limits, err)
 	}
 	res, err := c.readResponse(request.method)
 	if err == nil && c.reusable(res) && x.finish() {
@@ -100,7 +100,7 @@
 		t.discard(c)
 	}
 	if err != nil {
-		return nil, t.lostOutcome(x, to, writeBegan, err)
+		return nil, t.resultAfterWrite(x, to, writeBegan, err)
 	}
 	return res, policy.Succeeded
 }
@@ -111,7 +111,7 @@
 // must be sent for that client meanwhile: so this looks at the client's connection itself, right before it
 // dials and right before the request is written.
 func (t *transport) connectToWrite(x *exchange, to *endpoint, request *outboundRequest, writeDeadline time.Duration) (*conn, error) {
-	if request.abandoned() {
+	if request.clientGone() {
 		x.abandonUnwritten(policy.NotSent)
 		return nil, errAbandoned
 	}
@@ -121,7 +121,7 @@
 	}
 	// A connection may come up after the write deadline. A repeat that is written then may run a second
 	// time, as servers no longer drop it: see policy.Host.Send.
-	if request.abandoned() || t.clock.now() >= writeDeadline {
+	if request.clientGone() || t.clock.now() >= writeDeadline {
 		x.abandonUnwritten(policy.NotSent)
 	}
 	if !x.beginWrite(func() { c.Conn.Close() }) {
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -23,7 +23,7 @@
 // The response headers of servers that the sidecar interprets.
 const (
 	headerNotProcessed = "X-Not-Processed" // "1" on a 503 or 504: the request has not run
-	headerServerLoad   = "X-Server-Load"   // the server's load report: package loadreport; not for the application
+	headerServerLoad   = "X-Server-Load"   // the server's load report beside its response: not read, and not for the application
 )
 
 // Standard headers that the sidecar sets or checks.
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -27,7 +27,7 @@
 	target := l.endpoints[to]
 	if target == nil || !l.maySend(r, timeout, within) {
 		r.attempts = append(r.attempts, nil)
-		l.unsentOutcomes = append(l.unsentOutcomes, policy.Outcome{RequestID: id, Attempt: number, Result: policy.NotSent})
+		l.deniedSends = append(l.deniedSends, policy.Outcome{RequestID: id, Attempt: number, Result: policy.NotSent})
 		return
 	}
 	deadline, writeBy := l.attemptDeadlines(r, timeout, within)
@@ -58,7 +58,7 @@
 	return deadline, writeBy
 }
 
-// Reject responds 503: the request has not run, a retry after the pause is harmless.
+// Reject responds 503: the client may retry without harm, as the request has not run or a second run has no effect.
 func (l *eventLoop) Reject(id policy.RequestID, pause time.Duration) {
 	if r := l.requests[id]; r != nil && !r.closed {
 		l.respond(id, r, &response{status: http.StatusServiceUnavailable, retryAfter: pause})
@@ -123,12 +123,16 @@
 
 // Log reports a change in an endpoint's health to the engineers on call.
 func (l *eventLoop) Log(event policy.HealthEvent) {
-	id := slog.String("endpoint", strconv.FormatUint(uint64(event.Endpoint), 16))
+	id := slog.String("endpoint", strconv.FormatUint(uint64(event.Endpoint), 16)) // a hash of discovery's instance id
+	address := slog.String("address", "")
+	if e := l.endpoints[event.Endpoint]; e != nil {
+		address = slog.String("address", e.address)
+	}
 	inFlight := slog.Int("in_flight", event.InFlight)
 	switch event.Kind {
 	case policy.EndpointDegraded:
-		slog.Info("endpoint degraded", id, inFlight)
+		slog.Info("endpoint degraded", id, address, inFlight)
 	case policy.EndpointRecovered:
-		slog.Info("endpoint recovered", id, inFlight, slog.Int64("unresponsive_ms", event.Unresponsive.Milliseconds()))
+		slog.Info("endpoint recovered", id, address, inFlight, slog.Int64("unresponsive_ms", event.Unresponsive.Milliseconds()))
 	}
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -31,12 +31,12 @@
 		{RequestID: 7, Attempt: 3, Result: policy.NotSent}, {RequestID: 8, Attempt: 0, Result: policy.NotSent},
 		{RequestID: 8, Attempt: 1, Result: policy.NotSent}, {RequestID: 8, Attempt: 2, Result: policy.NotSent},
 	}
-	if len(l.unsentOutcomes) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.unsentOutcomes, want)
+	if len(l.deniedSends) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", l.deniedSends, want)
 	}
 	for i := range want {
-		if l.unsentOutcomes[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.unsentOutcomes[i], want[i])
+		if l.deniedSends[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", l.deniedSends[i], want[i])
 		}
 	}
 	for range 3 {
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -35,7 +35,7 @@
 	inFlight  atomic.Int64 // requests read in full that have no response yet
 	bodyBytes atomic.Int64 // size of their bodies
 	ready     atomic.Bool  // the answer to a readiness check
-	killAt    atomic.Int64 // while draining: when the process may be killed, in the clock's time; 0 before
+	answerBy  atomic.Int64 // while draining: when responses must be out, in the clock's time; 0 before
 
 	mu      sync.Mutex
 	openIDs map[string]bool // ids of the requests that have no response yet
@@ -81,7 +81,7 @@
 		writeRejection(w, rejected)
 		return
 	}
-	f.admit(w, r, parsed, body, arrived+parsed.timeout)
+	f.enforceLimits(w, r, parsed, body, arrived+parsed.timeout)
 }
 
 func isReadinessCheck(r *http.Request) bool {
@@ -97,17 +97,17 @@
 	}
 }
 
-// admit forwards a request that was read in full, unless it is over a limit.
+// enforceLimits forwards a request that was read in full, unless it is over a limit.
 //
 // Requests are counted only from here on. If they counted from their head on, a few clients that announce a
 // body and never send it could use up the limits for all others. Until here the limit on client connections
 // bounds them.
-func (f *ingress) admit(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
+func (f *ingress) enforceLimits(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	size := int64(len(body))
 	inFlight, bodyBytes := f.inFlight.Add(1), f.bodyBytes.Add(size)
 	defer f.inFlight.Add(-1)
 	defer f.bodyBytes.Add(-size)
-	deadline = f.deadlineBeforeKill(deadline)
+	deadline = f.capDeadline(deadline)
 	if f.overLimit(inFlight, bodyBytes) || deadline <= f.clock.now() {
 		f.closeIfDraining(w)
 		writeUnavailable(w, f.drawRetryAfter())
@@ -136,11 +136,11 @@
 	panic(http.ErrAbortHandler) // how a handler has net/http close the connection without a response
 }
 
-// deadlineBeforeKill returns the deadline of a request, earlier if the process may be killed before it: a
+// capDeadline returns the deadline of a request, earlier if the process may be killed before it: a
 // request that arrives while the sidecar drains must have its response by then.
-func (f *ingress) deadlineBeforeKill(deadline time.Duration) time.Duration {
-	if killAt := time.Duration(f.killAt.Load()); killAt != 0 {
-		return min(deadline, killAt)
+func (f *ingress) capDeadline(deadline time.Duration) time.Duration {
+	if answerBy := time.Duration(f.answerBy.Load()); answerBy != 0 {
+		return min(deadline, answerBy)
 	}
 	return deadline
 }
@@ -160,7 +160,7 @@
 
 // closeIfDraining has a connection close after the response that is about to be written, while draining.
 func (f *ingress) closeIfDraining(w http.ResponseWriter) {
-	if f.killAt.Load() != 0 {
+	if f.answerBy.Load() != 0 {
 		w.Header().Set(headerConnection, "close")
 	}
 }
--- a/internal/sidecar/outbound.go
+++ b/internal/sidecar/outbound.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// abandoned reports whether nobody waits for the response any more.
-func (r *outboundRequest) abandoned() bool { return r.clientClosed != nil && r.clientClosed() }
+// clientGone reports whether nobody waits for the response any more.
+func (r *outboundRequest) clientGone() bool { return r.clientClosed != nil && r.clientClosed() }
 
 // encode returns the request as it is written. Requests of clients carry the time that remains for the
 // response in place of the client's own timeout; health checks, which have no id, carry none.
--- a/internal/sidecar/outcome.go
+++ b/internal/sidecar/outcome.go
@@ -15,7 +15,9 @@
 //
 //   - ConnectFailed, NotSent and Rejected prove that the request never ran.
 //     ConnectFailed: the last byte of the request was not written, so the server never had a complete one.
-//     NotSent: nothing of it was written, for a reason on this side; it says nothing about the server.
+//     NotSent: not written to its last byte, for a reason on this side (the client has gone, the server drains, no
+//     descriptor is left) or because a write deadline shorter than a usual dial passed; it says nothing about the
+//     server.
 //     Rejected: the server says so itself, by X-Not-Processed.
 //   - ConnectionLost, TimedOut, ServerError and Cancelled do not: once the last byte is written, a request may
 //     have run, whatever comes back or does not.
@@ -36,8 +38,8 @@
 	errTooManyInterimHeads = errors.New("transport: too many interim responses")
 )
 
-// unsentOutcome is the outcome of an exchange whose request was not written to its last byte.
-func (t *transport) unsentOutcome(x *exchange, limits deadlines, err error) policy.Result {
+// resultBeforeWrite is the result of an exchange whose request was not written to its last byte.
+func (t *transport) resultBeforeWrite(x *exchange, limits deadlines, err error) policy.Result {
 	if outcome, abandoned := x.abandonedAs(); abandoned {
 		return outcome
 	}
@@ -55,9 +57,9 @@
 	return errors.Is(err, errConnLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// lostOutcome is the outcome of an exchange whose request was written and whose response did not arrive
+// resultAfterWrite is the result of an exchange whose request was written and whose response did not arrive
 // complete and well-formed. After a timeout it also closes the older idle connections to the server.
-func (t *transport) lostOutcome(x *exchange, to *endpoint, writeBegan time.Duration, err error) policy.Result {
+func (t *transport) resultAfterWrite(x *exchange, to *endpoint, writeBegan time.Duration, err error) policy.Result {
 	if outcome, abandoned := x.abandonedAs(); abandoned {
 		return outcome
 	}
@@ -76,7 +78,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// classifyResponse is the outcome of an exchange with a complete response. X-Not-Processed counts only on the
+// classifyResponse is the result of an exchange with a complete response. X-Not-Processed counts only on the
 // statuses of a server that is overloaded or past the request's deadline; on others it is taken for a fault.
 func classifyResponse(res *serverResponse) policy.Result {
 	switch res.StatusCode {
--- a/internal/sidecar/outcome_test.go
+++ b/internal/sidecar/outcome_test.go
@@ -95,10 +95,10 @@
 			})
 			tr := newTestTransport(t)
 			got := attempt(t, tr, s.host, "1", generous)
-			if got.outcome != c.outcome {
-				t.Fatalf("outcome %v, want %v", got.outcome, c.outcome)
+			if got.result != c.outcome {
+				t.Fatalf("outcome %v, want %v", got.result, c.outcome)
 			}
-			if got.outcome == policy.Succeeded && string(got.body) != succeeded {
+			if got.result == policy.Succeeded && string(got.body) != succeeded {
 				t.Fatalf("body %q, want %q", got.body, succeeded)
 			}
 			idle := len(tr.idle[s.host])
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -55,8 +55,8 @@
 			t.Fatal("the closed connection passes for alive")
 		}
 	}
-	if got := attempt(t, tr, s.host, "2", generous); got.outcome != policy.Succeeded {
-		t.Fatalf("outcome %v, want %v", got.outcome, policy.Succeeded)
+	if got := attempt(t, tr, s.host, "2", generous); got.result != policy.Succeeded {
+		t.Fatalf("outcome %v, want %v", got.result, policy.Succeeded)
 	}
 	if tr.stale != 1 {
 		t.Errorf("%d stale connections counted, want 1", tr.stale)
@@ -125,7 +125,7 @@
 	tr.minIdle = generous
 	attempt(t, tr, s.host, "1", generous)
 	if got := attempt(t, tr, s.host, "2", generous); string(got.body) != "done 2" {
-		t.Errorf("outcome %v, body %q, want the response to request 2", got.outcome, got.body)
+		t.Errorf("outcome %v, body %q, want the response to request 2", got.result, got.body)
 	}
 }
 
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -40,18 +40,18 @@
 	return q.ID
 }
 
-// clientGone takes that the client of a request has closed its connection. The ingress calls it on the goroutine of
+// clientGone is called when the client of a request has closed its connection. The ingress calls it on the goroutine of
 // that connection; it blocks as post does.
 func (l *eventLoop) clientGone(id policy.RequestID) {
 	l.post(func(now time.Duration) {
 		if r := l.requests[id]; r != nil {
-			l.abandon(now, id, r)
+			l.closeForGoneClient(now, id, r)
 		}
 	})
 }
 
-// abandon ends a request whose client has disconnected, once.
-func (l *eventLoop) abandon(now time.Duration, id policy.RequestID, r *request) {
+// closeForGoneClient ends a request whose client has disconnected, once.
+func (l *eventLoop) closeForGoneClient(now time.Duration, id policy.RequestID, r *request) {
 	if r.closed {
 		return
 	}
@@ -80,16 +80,16 @@
 // attemptEnded takes the result of an attempt, on the loop's goroutine. The first that succeeded is the response.
 func (l *eventLoop) attemptEnded(id policy.RequestID, number int, result attemptResult) {
 	r := l.requests[id]
-	r.deadlineExceeded = result.outcome == policy.TimedOut
+	r.deadlineExceeded = result.result == policy.TimedOut
 	// The transport asks the client's socket before it writes, so it may know of a disconnect before clientGone
 	// arrives. Without this check the Balancer would send a retry that nobody waits for.
-	if result.outcome == policy.NotSent && r.outbound.abandoned() {
-		l.abandon(l.now, id, r)
+	if result.result == policy.NotSent && r.outbound.clientGone() {
+		l.closeForGoneClient(l.now, id, r)
 	}
-	if result.outcome == policy.Succeeded && !r.closed {
+	if result.result == policy.Succeeded && !r.closed {
 		l.respond(id, r, &response{status: http.StatusOK, header: result.header, body: result.body})
 	}
-	l.reportOutcome(policy.Outcome{RequestID: id, Attempt: number, Result: result.outcome, Report: result.report})
+	l.reportOutcome(policy.Outcome{RequestID: id, Attempt: number, Result: result.result})
 }
 
 // reportOutcome reports the end of an attempt to the Balancer. It must be called once for each attempt.
@@ -103,12 +103,12 @@
 	}
 }
 
-// reportUnsent reports the sends that were not carried out. Send only notes them, as the Balancer is in the midst of
+// reportDeniedSends reports the sends that were not carried out. Send only notes them, as the Balancer is in the midst of
 // a call then and a Host must not call back; run calls this between two events.
-func (l *eventLoop) reportUnsent() {
-	for len(l.unsentOutcomes) > 0 {
-		o := l.unsentOutcomes[0]
-		l.unsentOutcomes = l.unsentOutcomes[1:]
+func (l *eventLoop) reportDeniedSends() {
+	for len(l.deniedSends) > 0 {
+		o := l.deniedSends[0]
+		l.deniedSends = l.deniedSends[1:]
 		l.reportOutcome(o)
 	}
 }
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -35,10 +35,10 @@
 	l.Reject(7, time.Second)
 	l.Fail(7)
 	l.Send(7, to, 0, 0)
-	if len(reply) != 0 || len(l.unsentOutcomes) != 1 || l.unsentOutcomes[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
-		t.Errorf("%d more responses, not sent %+v, want none and attempt 1", len(reply), l.unsentOutcomes)
+	if len(reply) != 0 || len(l.deniedSends) != 1 || l.deniedSends[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
+		t.Errorf("%d more responses, not sent %+v, want none and attempt 1", len(reply), l.deniedSends)
 	}
-	l.reportUnsent()
+	l.reportDeniedSends()
 	if len(l.requests) != 0 || r.inFlight != 0 {
 		t.Errorf("%d requests in the table, %d attempts in flight, want none", len(l.requests), r.inFlight)
 	}
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -34,7 +34,7 @@
 	_, _ = w.Write(r.body) // fails only if the client has gone, and then there is nobody to report it to
 }
 
-// writeUnavailable responds that the request has not run: retrying is harmless, best after the pause.
+// writeUnavailable responds that the client may retry without harm, best after the pause; 0: it names none.
 func writeUnavailable(w http.ResponseWriter, pause time.Duration) {
 	if pause > 0 {
 		w.Header().Set(headerRetryAfter, strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/shutdown.go
@@ -23,7 +23,7 @@
 	maxIdleDrainTime = 10 * time.Second
 )
 
-// drain ends the service without losing a request. It returns once every connection has closed, or
+// drain shuts the service down gracefully, without losing a request. It returns once every connection has closed, or
 // maxIdleDrainTime after SIGKILL could have come.
 //
 // It guards against a close that crosses a request: clients send on a connection for as long as it is open, and a
@@ -34,7 +34,7 @@
 func (f *ingress) drain(clients *acceptor, server *http.Server, maxDeadline time.Duration) error {
 	slog.Info("draining", "requests_in_flight", f.inFlight.Load())
 	untilKill := min(maxDeadline, maxKillDeadline) + killDelay
-	f.killAt.Store(int64(f.clock.now() + untilKill - killMargin))
+	f.answerBy.Store(int64(f.clock.now() + untilKill - killMargin))
 	f.ready.Store(false)
 	idleLimit := time.NewTimer(untilKill + maxIdleDrainTime)
 	defer idleLimit.Stop()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -62,15 +62,15 @@
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	f, address := serveClients(t, l)
-	f.killAt.Store(int64(l.clock.now() + generous/2))
+	f.answerBy.Store(int64(l.clock.now() + generous/2))
 	sendOnNewConn(t, address, rawRequest("in time"))
 	l.runNextEvent(t)
 	for _, r := range l.requests {
-		if r.deadline != time.Duration(f.killAt.Load()) {
-			t.Errorf("its deadline is %v, want %v", r.deadline, time.Duration(f.killAt.Load()))
+		if r.deadline != time.Duration(f.answerBy.Load()) {
+			t.Errorf("its deadline is %v, want %v", r.deadline, time.Duration(f.answerBy.Load()))
 		}
 	}
-	f.killAt.Store(1)
+	f.answerBy.Store(1)
 	c := sendOnNewConn(t, address, rawRequest("late"))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close || res.Header.Get("Retry-After") == "" {
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -46,10 +46,9 @@
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
-	outcome policy.Result // outcome.go says what each proves
-	header  http.Header   // of the response, if Succeeded
-	body    []byte
-	report  policy.LoadReport // the server's, where a response brought one
+	result policy.Result // outcome.go says what each proves
+	header http.Header   // of the response, if Succeeded
+	body   []byte
 }
 
 // send starts an attempt. It is abandoned at attemptDeadline, and its request is written before writeDeadline
@@ -69,7 +68,7 @@
 		res, outcome := t.roundTrip(x, to, request, limits)
 		t.unregisterUnwritten(x) // for exchanges that ended unwritten
 		if res == nil {
-			done(attemptResult{outcome: outcome})
+			done(attemptResult{result: outcome})
 			return
 		}
 		done(t.resultOf(res))
@@ -79,14 +78,11 @@
 
 // resultOf classifies a complete response.
 func (t *transport) resultOf(res *serverResponse) attemptResult {
-	result := attemptResult{
-		outcome: classifyResponse(res),
-		report:  t.reportFormat.DecodeText(res.Header.Get(headerServerLoad)),
+	attempt := attemptResult{result: classifyResponse(res)}
+	if attempt.result == policy.Succeeded {
+		attempt.header, attempt.body = res.Header, res.body
 	}
-	if result.outcome == policy.Succeeded {
-		result.header, result.body = res.Header, res.body
-	}
-	return result
+	return attempt
 }
 
 // healthCheck requests a server's health or load report. It starts a goroutine, which ends within the dial
--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -52,8 +52,8 @@
 
 func expectOutcome(t *testing.T, got attemptResult, want policy.Result) {
 	t.Helper()
-	if got.outcome != want {
-		t.Errorf("outcome %v, want %v", got.outcome, want)
+	if got.result != want {
+		t.Errorf("outcome %v, want %v", got.result, want)
 	}
 }
 
@@ -73,8 +73,8 @@
 	})
 	tr := newTestTransport(t)
 	attempt(t, tr, s.host, "1", generous)
-	if got := attempt(t, tr, s.host, "2", generous); got.outcome != policy.ConnectionLost {
-		t.Fatalf("outcome %v, want %v", got.outcome, policy.ConnectionLost)
+	if got := attempt(t, tr, s.host, "2", generous); got.result != policy.ConnectionLost {
+		t.Fatalf("outcome %v, want %v", got.result, policy.ConnectionLost)
 	}
 	first, second := wait(t, "request 1", s.seen), wait(t, "request 2", s.seen)
 	if first.conn != second.conn {
@@ -102,10 +102,10 @@
 func TestSilentServerTimesOut(t *testing.T) {
 	s := newStub(t, silent)
 	tr := newTestTransport(t)
-	if got := attempt(t, tr, s.host, "1", 30*time.Millisecond); got.outcome != policy.TimedOut {
+	if got := attempt(t, tr, s.host, "1", 30*time.Millisecond); got.result != policy.TimedOut {
 		// On a machine too busy to send anything in that time, the request never ran.
-		if got.outcome != policy.ConnectFailed || len(s.seen) > 0 {
-			t.Fatalf("outcome %v, want %v", got.outcome, policy.TimedOut)
+		if got.result != policy.ConnectFailed || len(s.seen) > 0 {
+			t.Fatalf("outcome %v, want %v", got.result, policy.TimedOut)
 		}
 	}
 	expectOpen(t, tr, 0)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -120,7 +120,7 @@
 	if b.subset.outgrown(b.traffic.perSecond) {
 		b.selectSubset()
 	}
-	late := now > r.latestStart() // asks for nothing that responses in time have earned
+	late := now > r.latestStart() // does not count against admission: see placeLate
 	if !late && !b.admit(now, r) {
 		b.admission.offered(r.class)
 		b.count.Shed++
@@ -144,17 +144,17 @@
 	}
 }
 
-// placeLate sends a request whose response comes too late to earn anything, if
-// it takes nothing from others: without waiting, and without congestion.
+// placeLate sends a request whose response would be late, if that takes
+// nothing from others: without waiting, and only without congestion.
 func (b *Balancer) placeLate(now time.Duration, r *request) {
-	r.usefulUntil = r.deadline
+	r.attemptsEndBy = r.deadline
 	if b.congested(now) || !b.dispatch(now, r) {
-		b.count.ExpiredRetries++
+		b.count.LateRejected++
 		b.giveUp(now, r)
 	}
 }
 
-// StreamStarted takes that the response to a request has begun to reach the
+// StreamStarted is called when the response to a request has begun to reach the
 // client: nothing else may answer it.
 func (b *Balancer) StreamStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
@@ -210,7 +210,8 @@
 	return r, a
 }
 
-// ClientDisconnected takes that a client has gone: its request needs no answer.
+// ClientDisconnected is called when a client has gone: its request needs no
+// answer.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.closed {
 		b.closeRequest(r)
@@ -218,7 +219,7 @@
 	}
 }
 
-// TimerFired takes that a time asked for with Host.SetTimer has come.
+// TimerFired is called when a time asked for with Host.SetTimer has come.
 func (b *Balancer) TimerFired(now time.Duration) {
 	if now < b.timerAt {
 		return // an older timer
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -23,8 +23,8 @@
 const noPriority = -1.0
 
 // bulkhead isolates one tenant: a bounded number of concurrent attempts and a
-// short queue for requests that wait, ordered by priority. A tenant that
-// exhausts its own cannot take another's.
+// short queue for requests that wait, in order of priority but for retries,
+// which go to its front. A tenant that exhausts its own cannot take another's.
 type bulkhead struct {
 	slots         int // concurrent attempts
 	used          int
@@ -65,7 +65,8 @@
 	h.queue = slices.Insert(h.queue, at, r)
 }
 
-// pushFront queues a request that has waited before: it goes first.
+// pushFront queues a retry: it has waited before, so it goes first, whatever
+// its priority and also beyond the queue's capacity.
 func (h *bulkhead) pushFront(r *request) { h.queue = slices.Insert(h.queue, 0, r) }
 
 // removeQueued takes a request out of the queue, if it is there.
@@ -150,7 +151,7 @@
 	for n := 0; n < len(h.queue) && !h.full(); {
 		switch r := h.queue[n]; {
 		case r.class.PriorityWeight > priority:
-			n++ // had its turn before
+			n++ // had its turn at its own priority, or stands behind a retry of a lower one
 		case r.class.PriorityWeight < priority:
 			return r.class.PriorityWeight
 		case now >= r.latestStart():
--- a/policy/clientretry_test.go
+++ b/policy/clientretry_test.go
@@ -32,15 +32,15 @@
 	}
 	finish(b, 970*ms, 3, 0, Succeeded)
 	b.congestion.meanSquare = 4
-	if isSent(971*ms, 4, 7, true) || b.Counters().ExpiredRetries != 1 {
+	if isSent(971*ms, 4, 7, true) || b.Counters().LateRejected != 1 {
 		t.Errorf("a retry was sent with its latency objective as good as over; %d counted as expired, want 1",
-			b.Counters().ExpiredRetries)
+			b.Counters().LateRejected)
 	}
 	if now := 4 * time.Second; !isSent(now, 5, 7, true) {
 		t.Error("a retry was rejected as late for a request abandoned long ago")
 	}
-	if len(b.clientRetries.abandoned) > 1 {
-		t.Errorf("%d requests abandoned long ago are still remembered", len(b.clientRetries.abandoned))
+	if len(b.clientRetries.unanswered) > 1 {
+		t.Errorf("%d requests abandoned long ago are still remembered", len(b.clientRetries.unanswered))
 	}
 }
 
@@ -54,12 +54,12 @@
 	before := classDemand{priority: b.classes[idempotentClass].PriorityWeight, offered: 40, goodput: 1}
 	b.admission.demand[idempotentClass] = before
 	for id := range RequestID(50) {
-		b.clientRetries.abandoned = append(b.clientRetries.abandoned,
-			abandonedRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
+		b.clientRetries.unanswered = append(b.clientRetries.unanswered,
+			unansweredRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
 		b.Request(2*time.Second, Request{ID: id, Class: idempotentClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
 	}
-	if c := b.Counters(); c.ExpiredRetries != 50 || c.Shed != 0 || len(h.rejected) != 50 {
-		t.Errorf("%d expired, %d shed, %d rejected; want 50, 0 and 50", c.ExpiredRetries, c.Shed, len(h.rejected))
+	if c := b.Counters(); c.LateRejected != 50 || c.Shed != 0 || len(h.rejected) != 50 {
+		t.Errorf("%d expired, %d shed, %d rejected; want 50, 0 and 50", c.LateRejected, c.Shed, len(h.rejected))
 	}
 	if got := b.admission.demand[idempotentClass]; got != before {
 		t.Errorf("admission counts %+v, want %+v as before", got, before)
@@ -71,11 +71,11 @@
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, _ := start(t, cfg, nil)
-	for id := range RequestID(3 * maxAbandoned) {
+	for id := range RequestID(3 * maxUnanswered) {
 		b.Request(0, Request{ID: id, Class: idempotentClass, Key: uint64(id) + 1, Timeout: time.Second})
 	}
-	if n := len(b.clientRetries.abandoned); n > maxAbandoned || n < maxAbandoned/2 {
-		t.Fatalf("%d remembered, want %d to %d", n, maxAbandoned/2, maxAbandoned)
+	if n := len(b.clientRetries.unanswered); n > maxUnanswered || n < maxUnanswered/2 {
+		t.Fatalf("%d remembered, want %d to %d", n, maxUnanswered/2, maxUnanswered)
 	}
 }
 
@@ -109,7 +109,7 @@
 			if got := retries.firstTry(now, &c.retry); got != want {
 				t.Errorf("first try at %v, want %v", got, want)
 			}
-			if n := len(retries.abandoned); n != c.remaining {
+			if n := len(retries.unanswered); n != c.remaining {
 				t.Errorf("%d abandoned requests remain, want %d", n, c.remaining)
 			}
 		})
@@ -138,10 +138,10 @@
 	for key := range uint64(2049) {
 		retries.remember(0, &request{key: key})
 	}
-	if n := len(retries.abandoned); n != 1025 {
+	if n := len(retries.unanswered); n != 1025 {
 		t.Fatalf("%d remembered, want 1024 and the latest", n)
 	}
-	if first, last := retries.abandoned[0].key, retries.abandoned[1024].key; first != 1024 || last != 2048 {
+	if first, last := retries.unanswered[0].key, retries.unanswered[1024].key; first != 1024 || last != 2048 {
 		t.Errorf("keys %d to %d remembered, want 1024 to 2048", first, last)
 	}
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -157,7 +157,7 @@
 	}
 	// At the quotas, all balancers have 100/s x 1 s x 0.12 = 12 attempts in flight, a fourth of it at one endpoint.
 	b.HealthChecked(2*ms, 1, true, LoadReport{Fields: HasInFlight, InFlight: 5})
-	if !b.reportsFull(2*ms, &request{}, b.endpoints.find(1)) {
+	if !b.fullByReport(2*ms, &request{}, b.endpoints.find(1)) {
 		t.Fatal("the last of four endpoints is not full at more than a fourth of the fleet's attempts and the headroom")
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -71,9 +71,9 @@
 	MaxRetryAfter      time.Duration // the longest Retry-After that clients heed
 	ClientsMarkRetries bool          // clients mark their own retries: Request.ClientRetry
 
-	RetryBudget       RetryBudget   // the zero value: no limit
-	OrderingDelay     time.Duration // a key is blocked this long after an attempt that may still be running
-	DrainCloseTimeout time.Duration // idle connections to a draining endpoint are closed this soon; 0: not closed
+	RetryBudget      RetryBudget   // the zero value: no limit
+	OrderingDelay    time.Duration // a key is blocked this long after an attempt that may still be running
+	IdleCloseTimeout time.Duration // idle connections to a draining endpoint are closed this soon; 0: not closed
 
 	EventInterval time.Duration // events come at most this often
 
@@ -143,7 +143,7 @@
 		value time.Duration
 	}{
 		{"OrderingDelay", c.OrderingDelay},
-		{"DrainCloseTimeout", c.DrainCloseTimeout},
+		{"IdleCloseTimeout", c.IdleCloseTimeout},
 		{"MaxRetryAfter", c.MaxRetryAfter},
 		{"EventInterval", c.EventInterval},
 		{"PollInterval", c.PollInterval},
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -53,7 +53,7 @@
 		{"negative index", "Index", func(c *Config) { c.Index = -1 }},
 		{"negative cross-zone cost", "CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
 		{"negative ordering delay", "OrderingDelay", func(c *Config) { c.OrderingDelay = -1 }},
-		{"negative close timeout", "DrainCloseTimeout", func(c *Config) { c.DrainCloseTimeout = -1 }},
+		{"negative close timeout", "IdleCloseTimeout", func(c *Config) { c.IdleCloseTimeout = -1 }},
 		{"negative poll interval", "PollInterval",
 			func(c *Config) { c.PollInterval = -1 }},
 		{"negative budget interval", "RetryBudget", func(c *Config) { c.RetryBudget.Interval = -1 }},
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -3,7 +3,9 @@
 import "time"
 
 // eligible is the one gate before a send: whether the rules let a request go
-// to an endpoint now. Everything else only chooses among what it allows.
+// to an endpoint now. The picker chooses among what it allows, and passes over
+// more: endpoints that the request has been to, ejected ones and those at their
+// limit.
 func (b *Balancer) eligible(now time.Duration, r *request, e *endpoint) bool {
 	switch {
 	case r.closed || r.streaming || now >= r.deadline:
@@ -57,6 +59,6 @@
 	if b.crossesZone(e) {
 		b.count.CrossZoneSends++
 	}
-	b.host.Send(r.id, e.ID, r.usefulUntil-now, r.dedupRemaining())
+	b.host.Send(r.id, e.ID, r.attemptsEndBy-now, r.dedupRemaining())
 	return true
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -84,7 +84,7 @@
 		Slots: pickOne(w, 0, 0, 0, 6, 40), MaxAttempts: 1 + w.rng.IntN(4),
 		CanCancel: w.oneIn(2), CanHealthCheck: !w.oneIn(4), CanGossip: !w.oneIn(3),
 		MaxRetryAfter: pickOne(w, 100*ms, time.Second), ClientsMarkRetries: w.oneIn(2),
-		OrderingDelay: pickOne(w, 0, 50*ms), DrainCloseTimeout: pickOne(w, 0, 100*ms), EventInterval: pickOne(w, 0, 5*ms, 20*ms),
+		OrderingDelay: pickOne(w, 0, 50*ms), IdleCloseTimeout: pickOne(w, 0, 100*ms), EventInterval: pickOne(w, 0, 5*ms, 20*ms),
 		PollsEndpoints: w.oneIn(2), PollInterval: pickOne(w, 0, 400*ms, 3*time.Second),
 		SlowStartFraction: pickOne(w, 0.05, 0.3), SlowStartDuration: pickOne(w, 0, 2*time.Second, 8*time.Second),
 		OverloadFactor: pickOne(w, 0, 1.5, 3), CrossZoneCost: pickOne(w, 0, 0.02),
@@ -168,7 +168,8 @@
 		result = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
 	}
 	answered := result == Succeeded || w.oneIn(20)
-	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: result, Answered: answered, Report: w.randomReport()})
+	w.randomReport() // outcomes had one when the digests were recorded; the draws stay in their order
+	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: result, Answered: answered})
 	if w.oneIn(50) { // repeated
 		w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
 	}
@@ -232,7 +233,7 @@
 		fmt.Fprintln(sum, line)
 	}
 	c := b.Counters()
-	fmt.Fprintln(sum, c.RoundRobinSends, c.DivertedSends, c.ConcurrencyLimited, c.Shed, c.CrossZoneSends, c.Retries, c.ExpiredRetries, c.Queued, c.GossipSent, c.GossipReceived,
+	fmt.Fprintln(sum, c.RoundRobinSends, c.DivertedSends, c.ConcurrencyLimited, c.Shed, c.CrossZoneSends, c.Retries, c.LateRejected, c.Queued, c.GossipSent, c.GossipReceived,
 		c.GossipDropped, c.Rejected, c.Failed)
 	return fmt.Sprintf("%016x", sum.Sum64()), len(host.lines)
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -18,9 +18,10 @@
 )
 
 // GossipMessage is what a balancer broadcasts to its peers about the time
-// since its message before. Peers' messages only advise: they move how much a
-// balancer sends, never what the rules allow, and without any each goes by
-// what it observes itself.
+// since its message before. Peers' messages only advise: they move the
+// concurrency limit, down to one attempt in flight, and whether late requests
+// are sent; never what eligible allows, nor slots and queues. Without any, each
+// balancer goes by what it observes itself.
 type GossipMessage struct {
 	SentAt      time.Duration // on the clock that all balancers share
 	RequestRate float64       // requests per second
--- a/policy/host.go
+++ b/policy/host.go
@@ -10,14 +10,14 @@
 //
 // # Contract
 //
-// Times are durations since a fixed moment of the host's choice. They never
-// go back, and all calls for one Balancer come from one goroutine, in the
-// order in which things happened: New, Start, UpdateEndpoints with the
-// endpoints cached from before, then any other event. Each Host.Send brings
-// exactly one Outcome, also after its request has been answered; each
-// Host.SetTimer brings one call of TimerFired, rather late than never. A
-// request is answered once: by an Outcome with Answered set, or by Host.Reject
-// or Host.Fail.
+// Times are durations since a fixed moment, the same for all balancers and for
+// Endpoint.StartedAt (on real sockets the Unix epoch). They never go back, and
+// all calls for one Balancer come from one goroutine, in the order in which
+// things happened: New, Start, UpdateEndpoints with the endpoints cached from
+// before, then any other event. Each Host.Send brings exactly one Outcome, also
+// after its request has been answered; each Host.SetTimer brings one call of
+// TimerFired, rather late than never. A request is answered once: by an Outcome
+// with Answered set, or by Host.Reject or Host.Fail.
 //
 // Bad input does no harm: a request that names no class or tenant, or has no
 // time left, is rejected; an outcome, report or departure of something unknown
@@ -33,7 +33,8 @@
 // Host carries out what a Balancer decides. Its methods must not block and
 // must not call back into the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request, given up after timeout. An
+	// Send starts the next attempt of a request, given up after timeout, which
+	// is above 0. An
 	// attempt whose request is not written within writeTimeout (0: no limit)
 	// must not be written any more and ends as NotSent: endpoints would no
 	// longer recognise it as a duplicate.
@@ -91,11 +92,11 @@
 type Counters struct {
 	RoundRobinSends    uint64 // first attempts at the endpoint whose turn it was
 	DivertedSends      uint64 // attempts that went to the next in turn, as an endpoint was at its limit
-	ConcurrencyLimited uint64 // times that a request with a free slot had to wait for the concurrency limit
+	ConcurrencyLimited uint64 // times that the concurrency limit held back a request with a free slot
 	Shed               uint64 // requests rejected by admission
 	CrossZoneSends     uint64 // attempts to another zone, where crossing has a cost
 	Retries            uint64 // attempts after a request's first
-	ExpiredRetries     uint64 // clients' own retries that were rejected as their latency objective had passed
+	LateRejected       uint64 // requests rejected on arrival as a response would be late, mostly clients' own retries
 	Queued             uint64 // requests that had to wait for a slot or an endpoint
 	GossipSent         uint64 // messages broadcast
 	GossipReceived     uint64 // messages of peers that were accepted
--- a/policy/draining.go
+++ b/policy/idleclose.go
@@ -13,9 +13,9 @@
 // closeIdle closes the idle connections to an endpoint that gets nothing new:
 // now and, as one may be opening just then, once more.
 func (b *Balancer) closeIdle(now time.Duration, e *endpoint) {
-	if b.cfg.DrainCloseTimeout > 0 {
+	if b.cfg.IdleCloseTimeout > 0 {
 		b.host.CloseIdle(e.ID)
-		b.idleCloser.repeatAt = cmp.Or(b.idleCloser.repeatAt, now+b.cfg.DrainCloseTimeout/2)
+		b.idleCloser.repeatAt = cmp.Or(b.idleCloser.repeatAt, now+b.cfg.IdleCloseTimeout/2)
 		b.setTimer(now, b.idleCloser.repeatAt-now)
 	}
 }
--- a/policy/draining_test.go
+++ b/policy/idleclose_test.go
@@ -36,7 +36,7 @@
 func TestIdleConnectionsToDrainingEndpointsAreClosed(t *testing.T) {
 	t.Run("with a timeout", func(t *testing.T) {
 		cfg := testConfig()
-		cfg.DrainCloseTimeout = 300 * ms
+		cfg.IdleCloseTimeout = 300 * ms
 		b, h := start(t, cfg, ready(1))
 		submit(b, 0, 1, idempotentClass)
 		b.UpdateEndpoints(10*ms, DeltaUpdate, []Endpoint{{ID: 1, State: Draining}})
@@ -63,7 +63,7 @@
 
 func TestIdleCloserRepeats(t *testing.T) {
 	cfg := testConfig()
-	cfg.DrainCloseTimeout = 300 * ms
+	cfg.IdleCloseTimeout = 300 * ms
 	b, h := start(t, cfg, ready(1, 2, 3))
 	b.endpoints.find(2).State, b.endpoints.find(3).State = Draining, Draining
 	b.closeIdle(10*ms, b.endpoints.find(3))
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -162,10 +162,10 @@
 	b.place(now, r)
 }
 
-// reportsFull says that an endpoint reports its part of all balancers'
-// requests or more; or that it has not reported, and the request has waited
-// for as many reports as it may.
-func (b *Balancer) reportsFull(now time.Duration, r *request, e *endpoint) bool {
+// fullByReport says that an endpoint reports its part of all balancers'
+// requests or more, also in a report too old to send by; or that it has not
+// reported, and the request has waited for as many reports as it may.
+func (b *Balancer) fullByReport(now time.Duration, r *request, e *endpoint) bool {
 	if e.reportedAt == 0 || now-e.reportedAt >= reportMaxAge {
 		return r.healthChecks >= maxHealthChecks
 	}
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -220,14 +220,14 @@
 			b, _ := start(t, reportingConfig(), ready(1))
 			e := b.endpoints.find(1)
 			e.reportedAt, e.othersInFlight, e.inFlight = c.reportedAt, c.othersInFlight, c.inFlight
-			if got := b.reportsFull(now, &request{healthChecks: c.healthChecks}, e); got != c.want {
+			if got := b.fullByReport(now, &request{healthChecks: c.healthChecks}, e); got != c.want {
 				t.Errorf("full: %v, want %v", got, c.want)
 			}
 		})
 	}
 	t.Run("no report just after the start, waited for three others", func(t *testing.T) {
 		b, _ := start(t, reportingConfig(), ready(1))
-		if !b.reportsFull(ms, &request{healthChecks: 3}, b.endpoints.find(1)) {
+		if !b.fullByReport(ms, &request{healthChecks: 3}, b.endpoints.find(1)) {
 			t.Error("an endpoint that has never reported counts as reporting no load")
 		}
 	})
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -62,7 +62,7 @@
 	b.meanLatency += (latency - b.meanLatency) / overallGain
 }
 
-// recordResponse takes that an endpoint has responded. One that has been
+// recordResponse is called when an endpoint has responded. One that has been
 // silent may have restarted, though no list said so: it gets a slow start.
 func (b *Balancer) recordResponse(now time.Duration, e *endpoint) {
 	silence := now - e.unresponsiveSince
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -43,8 +43,9 @@
 	return b.cfg.CrossZoneCost > 0 && e.Zone != b.cfg.Zone
 }
 
-// pick returns the endpoint that a request is sent to now, or nil. A request
-// that is bound to where it has been before may leave the subset for that.
+// pick returns the endpoint that a request is sent to now, or nil. A retry that
+// may have run is sent outside the subset if nothing in it can take it:
+// duplicates may be dropped only in the first attempt's zone or cell.
 func (b *Balancer) pick(now time.Duration, r *request) *endpoint {
 	chosen, diverted := b.nextInTurn(now, r, b.subset.endpoints)
 	if chosen == nil && r.firstEffective() != nil {
@@ -85,5 +86,5 @@
 // atLimit says that an endpoint has as many requests as it should, of this
 // balancer or, by its load report, of all.
 func (b *Balancer) atLimit(now time.Duration, r *request, e *endpoint) bool {
-	return float64(e.inFlight) >= b.endpointLimit(e) || b.reportsFull(now, r, e)
+	return float64(e.inFlight) >= b.endpointLimit(e) || b.fullByReport(now, r, e)
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -28,7 +28,7 @@
 	cfg.PollsEndpoints, cfg.CanHealthCheck = true, true
 	cfg.ReportFields = pickFrom(pick, 0, HasInFlight, HasInFlight|HasUtilization, HasUtilization|HasServiceTime)
 	cfg.Balancers = pickFrom(pick, 2, 50)
-	cfg.DrainCloseTimeout = time.Duration(pick(2)) * 100 * ms
+	cfg.IdleCloseTimeout = time.Duration(pick(2)) * 100 * ms
 	cfg.OrderingDelay = time.Duration(pick(3)) * 50 * ms
 	cfg.Slots = pickFrom(pick, 0, 8, 40)
 	if pick(2) == 0 {
@@ -163,7 +163,7 @@
 	}
 	w.expectIdleClose(a.endpoint.ID)
 	w.b.Outcome(w.now,
-		Outcome{RequestID: id, Attempt: number, Result: result, Answered: r.answered, Report: w.loadReport(int(id))})
+		Outcome{RequestID: id, Attempt: number, Result: result, Answered: r.answered})
 }
 
 // expireAttempts fires the Balancer's timer, and ends the attempts of requests at their deadline.
--- a/policy/request.go
+++ b/policy/request.go
@@ -25,14 +25,14 @@
 // it never ran; every other one but Succeeded means that it may have run, and
 // so does a value not listed here.
 const (
-	Succeeded Result = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionLost
-	Cancelled
-	NotSent
+	Succeeded      Result = iota
+	ServerError           // a response that is no success
+	Rejected              // the endpoint says that it did not process the request
+	TimedOut              // written, and no response in time
+	ConnectFailed         // no connection, or the request was not written to its last byte
+	ConnectionLost        // written, and the connection ended without a complete response
+	Cancelled             // abandoned by Host.Cancel, or with its request
+	NotSent               // not written, for a reason on the sidecar's side; says nothing of the endpoint
 )
 
 // Outcome is the end of one attempt.
@@ -40,8 +40,7 @@
 	RequestID RequestID
 	Attempt   int // numbered from 0 in the order of Host.Send for this request
 	Result    Result
-	Answered  bool       // the request has been answered, or its client has gone
-	Report    LoadReport // the endpoint's load report, where one came along
+	Answered  bool // the request has been answered, or its client has gone
 }
 
 // maxRequestTimeout bounds what a request may say of its time; more makes no
@@ -81,7 +80,7 @@
 	key             uint64
 	clientStartedAt time.Duration // when the client's first try began, as far as is known
 	deadline        time.Duration // when the client gives up
-	usefulUntil     time.Duration // a response after this earns nothing
+	attemptsEndBy   time.Duration // the deadline or, where late responses have no value, the latency objective
 	objectiveAt     time.Duration // a response before this meets the latency objective
 	attempts        []attempt
 	inFlight        int
@@ -117,9 +116,9 @@
 }
 
 // latestStart is when it stops being worth it to start an attempt: its
-// response would come too late to earn anything.
+// response would come after attemptsEndBy.
 func (r *request) latestStart() time.Duration {
-	return r.usefulUntil - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
+	return r.attemptsEndBy - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
 }
 
 // neverRan says that a result proves that the attempt did not run.
@@ -148,7 +147,7 @@
 		clientStartedAt: now,
 		deadline:        now + min(q.Timeout, maxRequestTimeout),
 	}
-	r.usefulUntil = r.deadline
+	r.attemptsEndBy = r.deadline
 	r.objectiveAt = min(r.deadline, now+r.class.LatencyObjective)
 	if q.ClientRetry && q.Key != 0 {
 		r.clientStartedAt = b.clientRetries.firstTry(now, r)
@@ -162,9 +161,8 @@
 	return r
 }
 
-// limitUsefulness shortens the time in which a response earns anything to the
-// latency objective of the client's first try, for classes whose late
-// responses earn nothing. A client's retry comes with less time left than a
+// limitUsefulness ends attempts at the latency objective of the client's first
+// try, for classes whose late responses have no value. A client's retry comes with less time left than a
 // first try, or waits less in all: that tells when the first try began.
 func (b *Balancer) limitUsefulness(now time.Duration, r *request, q Request) {
 	c := r.class
@@ -178,7 +176,7 @@
 		r.clientStartedAt = min(r.clientStartedAt, r.deadline-c.Deadline)
 	}
 	objective := c.LatencyObjective + time.Duration(c.ObjectivePerWork*float64(q.ExpectedWork))
-	r.usefulUntil = min(r.deadline, r.clientStartedAt+objective)
+	r.attemptsEndBy = min(r.deadline, r.clientStartedAt+objective)
 }
 
 // maxTimeoutDecay is how many requests it takes for class.maxTimeout to follow
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -91,7 +91,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const usefulUntil = time.Minute
-			r := request{usefulUntil: usefulUntil,
+			r := request{attemptsEndBy: usefulUntil,
 				class: &class{Class: Class{LatencyObjective: time.Second}, meanLatency: c.meanLatency}}
 			if got := r.latestStart(); got != usefulUntil-c.want {
 				t.Errorf("latest start %v before, want %v", usefulUntil-got, c.want)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -34,7 +34,9 @@
 // retry sends a request again whose attempts have all failed, or gives it up:
 // at the limit on attempts, where the class forbids it, when a response would
 // be late, and when the retry budget is exhausted. If it cannot be sent at
-// once, it waits at the front of its queue, as it has waited before.
+// once, it waits at the front of its queue, as it has waited before. It may
+// still end there: where eligible and nextInTurn leave it no endpoint, as it
+// never goes to one twice, serveQueue or expireRequest gives it up.
 func (b *Balancer) retry(now time.Duration, r *request) {
 	denied := len(r.attempts) >= b.cfg.MaxAttempts ||
 		!r.mayRetry(now) ||
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -214,8 +214,8 @@
 
 // expectIdleClose starts that time anew, if the endpoint drains.
 func (c *ruleChecker) expectIdleClose(id EndpointID) {
-	if c.cfg.DrainCloseTimeout > 0 && c.endpoints[id].State == Draining {
-		c.closeBy[id] = c.now + c.cfg.DrainCloseTimeout
+	if c.cfg.IdleCloseTimeout > 0 && c.endpoints[id].State == Draining {
+		c.closeBy[id] = c.now + c.cfg.IdleCloseTimeout
 	}
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -36,7 +36,9 @@
 
 // slowStartInterval spaces the sends to an endpoint in slow start so that all
 // balancers together stay well within its capacity: each uses an even part of
-// that, whatever traffic it has.
+// that, whatever traffic it has. Only some balancers have the endpoint in their
+// subset, about the subset's part of all ready weight; each of those may send
+// that much more.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint) time.Duration {
 	demand := float64(max(b.inFlight, minInFlightForDemand)) / b.meanLatency.Seconds()
 	rate := b.endpoints.proportion(cmp.Or(b.cfg.evenPart(b.quota), demand), e)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -13,7 +13,7 @@
 	resizeTolerance = 0.25
 )
 
-// subset is the endpoints that this balancer sends to. A thousand balancers of
+// subset is the endpoints that this balancer sends first attempts to. A thousand balancers of
 // little traffic each would hold connections to all endpoints and never learn
 // how any of them fares, so each uses a range of the endpoint list that its
 // own traffic can keep measured. The ranges begin evenly spread, by the
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -44,7 +44,7 @@
 	w.failures++
 }
 
-// succeeded takes that an update has come: nothing has to be polled.
+// succeeded is called when an update has come: nothing has to be polled.
 func (w *endpointWatch) succeeded() { w.pollAt, w.failures = 0, 0 }
 
 // shouldPoll says that it is time to poll.
