--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"os/exec"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -17,15 +18,31 @@
 // generous limits every wait. Tests wait for events, and only a faulty program waits for so long.
 const generous = 30 * time.Second
 
-// unusedAddress is an address on loopback that nobody listens on.
+// unusedAddress is an address on loopback that nobody listens on. Until the test ends only who names it can listen
+// there.
+//
+// A socket that is bound, but does not listen, reserves its port. Without that the system may choose the port again,
+// for another case that runs at the same time, before the program of this one listens: that program then waits for
+// its address until it ends, and the test talks to the listener of the other case. The system chooses no port that a
+// socket is bound to. As both sides set SO_REUSEADDR, one who names the port can still listen there.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	t.Cleanup(func() { _ = syscall.Close(reserved) })
+	if err := syscall.SetsockoptInt(reserved, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Bind(reserved, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(reserved)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
 // configValues are what tests vary in a valid configuration.
