--- /dev/null
+++ b/policy/bulkhead_test.go
@@ -0,0 +1,233 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A tenant that floods the balancer must not take the slots of another one. Its own surplus is rejected at once with a
+// Retry-After, or clients would wait in vain; a slot that becomes free goes to the request that waited first.
+func TestBulkheadSlotsAndQueue(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and a queue of 1
+	if b.FreeSlots(0) != 6 || b.FreeSlots(1) != 2 || b.FreeQueue(0) != 1 || b.FreeQueue(1) != 1 {
+		t.Fatalf("free slots %d and %d, free queue places %d and %d; want 6 and 2, 1 and 1",
+			b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(0), b.FreeQueue(1))
+	}
+	for id := range RequestID(10) {
+		submit(b, 0, id, idempotentClass)
+	}
+	if len(h.sends) != 6 || b.FreeQueue(0) != 0 {
+		t.Fatalf("%d sent, %d queue places free; want 6 and 0", len(h.sends), b.FreeQueue(0))
+	}
+	if retryAfter, ok := h.rejected[9]; !ok || retryAfter <= 0 || retryAfter > time.Second {
+		t.Fatalf("tenth request rejected: %v, with Retry-After %v; want a rejection at once, within a second", ok, retryAfter)
+	}
+	if b.FreeSlots(1) != 2 {
+		t.Fatalf("tenant 1 lost slots to tenant 0")
+	}
+	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, Timeout: 2 * time.Second})
+	if len(h.sends) != 7 {
+		t.Fatalf("the bulkhead of tenant 1 did not send while that of tenant 0 was full")
+	}
+	finish(b, 50*ms, 0, 0, Succeeded)
+	if len(h.sends) != 8 || h.sends[7].id != 6 {
+		t.Fatalf("sends %v: the free slot did not go to the first request in the queue", h.sends)
+	}
+}
+
+// Where operators set no slots, a balancer derives them from the quotas. Too many would let the fleet overload the
+// endpoints, and fewer than one for a tenant would lock it out.
+func TestSlotsDerivedFromQuotas(t *testing.T) {
+	for _, balancers := range []int{1, 4, 64} {
+		t.Run(fmt.Sprintf("balancers=%d", balancers), func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Slots, cfg.Balancers = 0, balancers
+			b, _ := start(t, cfg, ready(1))
+			fleet := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
+			if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > fleet {
+				t.Errorf("%d slots, want 2 to %.0f", b.bulkheads.slots, fleet)
+			}
+			if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
+				t.Errorf("slots of the tenants %d and %d, queue of the second %d; want more for the first and a queue",
+					b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(1))
+			}
+		})
+	}
+	t.Run("no tenants", func(t *testing.T) { // and so no quota: one bulkhead, sized by the first endpoint list
+		cfg := testConfig()
+		cfg.Slots, cfg.Tenants, cfg.Balancers = 0, nil, 4
+		b, h := start(t, cfg, ready(1, 2))
+		b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
+		if len(b.bulkheads.all) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
+			t.Fatalf("%d bulkheads, %d slots, %d sends; want 1, 7 and 1", len(b.bulkheads.all), b.bulkheads.slots, len(h.sends))
+		}
+	})
+}
+
+// A request of high priority was rejected because the queue was full of requests of low priority. It has to take the
+// place of the last of these, whose client is notified at once, and the next free slot.
+func TestHigherPriorityEvictsFromFullQueue(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes = cfg.Classes[:2]
+	cfg.Classes[1].PriorityWeight = 8
+	b, h := start(t, cfg, ready(1, 2, 3, 4))
+	b.bulkheads.all[0].slots, b.bulkheads.all[0].queueCapacity = 1, 2
+	submit(b, 0, 1, 0) // has the slot
+	submit(b, 0, 2, 0)
+	submit(b, 0, 3, 0) // the queue is full
+	submit(b, 0, 4, 1)
+	if _, rejected := h.rejected[3]; !rejected || len(h.rejected) != 1 {
+		t.Fatalf("rejected %v, want the last request of low priority, 3", h.rejected)
+	}
+	submit(b, 0, 5, 0)
+	if _, rejected := h.rejected[5]; !rejected {
+		t.Fatal("a request of low priority was let into a full queue")
+	}
+	finish(b, 10*ms, 1, 0, Succeeded)
+	if last := h.sends[len(h.sends)-1]; last.id != 4 {
+		t.Fatalf("request %d has the free slot, want that of the highest priority, 4", last.id)
+	}
+	finish(b, 20*ms, 4, 0, Succeeded)
+	if last := h.sends[len(h.sends)-1]; last.id != 2 {
+		t.Fatalf("request %d has the free slot, want the one that waited, 2", last.id)
+	}
+}
+
+// While no endpoint is known, a request waits in the queue, but not for so long that its client learns nothing before
+// its latency objective.
+func TestQueuedRequestIsRejectedBeforeItsObjective(t *testing.T) {
+	b, h := start(t, testConfig(), nil)
+	submit(b, 0, 1, nonIdempotentClass)
+	if len(h.rejected) != 0 {
+		t.Fatal("rejected at once, though the queue has capacity")
+	}
+	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
+		b.TimerFired(now)
+	}
+	if _, ok := h.rejected[1]; !ok {
+		t.Fatal("still queued when its latency objective had passed")
+	}
+}
+
+// Where endpoints had lost capacity, requests were sent after their wait with just about the usual latency remaining.
+// Every other one timed out, and the endpoints' work was wasted. So a wait ends while a response can still come in time.
+func TestQueuedRequestIsRejectedWhenTooLateToStart(t *testing.T) {
+	b, h := start(t, testConfig(), nil)
+	submit(b, 0, 1, idempotentClass) // a latency objective of 1 s, a usual latency of 125 ms
+	b.TimerFired(740 * ms)
+	if len(h.rejected) != 0 {
+		t.Fatal("rejected with over twice the usual latency remaining")
+	}
+	b.UpdateEndpoints(760*ms, FullUpdate, ready(1))
+	if _, rejected := h.rejected[1]; !rejected {
+		t.Fatalf("sent %v after a wait, with less than twice the usual latency remaining", h.sends)
+	}
+}
+
+// queued makes requests with these priority weights.
+func queued(priorities ...float64) (requests []*request) {
+	for _, priority := range priorities {
+		requests = append(requests, &request{class: &class{Class: Class{PriorityWeight: priority}}})
+	}
+	return requests
+}
+
+func TestBulkheadResize(t *testing.T) {
+	for _, c := range []struct {
+		name                 string
+		mean, deviations     float64
+		slots, queueCapacity int
+	}{
+		{"no traffic", 0, 2, 1, 1},
+		{"without a margin", 8, 0, 8, 2},
+		{"rounded up", 8.1, 0, 9, 2},
+		{"margin of two deviations", 9, 2, 15, 3},
+		{"queue of 0.15 of the slots", 40, 0, 40, 6},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var h bulkhead
+			if h.resize(c.mean, c.deviations); h.slots != c.slots || h.queueCapacity != c.queueCapacity {
+				t.Errorf("%d slots and a queue of %d, want %d and %d", h.slots, h.queueCapacity, c.slots, c.queueCapacity)
+			}
+		})
+	}
+}
+
+func TestBulkheadsResizeByWeight(t *testing.T) {
+	h := bulkheads{all: make([]bulkhead, 3), slots: 99}
+	h.resize([]Tenant{{Weight: 6}, {Weight: 3}, {Weight: 1}}, 40, 0)
+	if h.all[0].slots != 24 || h.all[1].slots != 12 || h.all[2].slots != 4 || h.slots != 40 {
+		t.Errorf("slots %d, %d and %d, of %d; want 24, 12 and 4 of 40", h.all[0].slots, h.all[1].slots, h.all[2].slots, h.slots)
+	}
+}
+
+func TestBulkheadFull(t *testing.T) {
+	for used, want := range []bool{false, false, true, true} {
+		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
+			h := bulkhead{slots: 2, used: used}
+			if got := h.full(); got != want {
+				t.Errorf("full: %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+func TestBulkheadEvictionCandidate(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		queue    []float64 // priority weights
+		priority float64
+		evicted  int // index in the queue; -1: none, -2: the new request
+	}{
+		{"empty queue", nil, 1, -1},
+		{"capacity remains", []float64{8}, 1, -1},
+		{"higher priority", []float64{8, 1}, 4, 1},
+		{"equal priority", []float64{8, 4}, 4, -2},
+		{"lower priority", []float64{8, 4}, 1, -2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := bulkhead{queueCapacity: 2, queue: queued(c.queue...)}
+			r := queued(c.priority)[0]
+			got := -1
+			switch evicted := h.evictionCandidate(r); {
+			case evicted == r:
+				got = -2
+			case evicted != nil:
+				got = slices.Index(h.queue, evicted)
+			}
+			if got != c.evicted {
+				t.Errorf("evicted %d, want %d", got, c.evicted)
+			}
+		})
+	}
+}
+
+func TestBulkheadQueueOrder(t *testing.T) {
+	requests := queued(1, 8, 1, 8, 4)
+	var h bulkhead
+	for _, r := range requests {
+		h.push(r)
+	}
+	order := func() (order []int) {
+		for _, r := range h.queue {
+			order = append(order, slices.Index(requests, r))
+		}
+		return order
+	}
+	if got := order(); !slices.Equal(got, []int{1, 3, 4, 0, 2}) {
+		t.Fatalf("pushed in the order %v, want by priority and then arrival: 1 3 4 0 2", got)
+	}
+	h.removeQueued(requests[4])
+	h.removeQueued(requests[4]) // not there any more
+	if got := order(); !slices.Equal(got, []int{1, 3, 0, 2}) {
+		t.Fatalf("order %v after a removal, want 1 3 0 2", got)
+	}
+	h.removeQueued(requests[0])
+	h.pushFront(requests[0])
+	if got := order(); !slices.Equal(got, []int{0, 1, 3, 2}) {
+		t.Fatalf("order %v after a request was pushed to the front, want 0 1 3 2", got)
+	}
+}
--- /dev/null
+++ b/policy/config_test.go
@@ -0,0 +1,80 @@
+package policy
+
+import (
+	"errors"
+	"math"
+	"strings"
+	"testing"
+)
+
+// Operators fix a setting that cannot be used only if the error says which one it is.
+func TestNewNamesTheUnusableField(t *testing.T) {
+	for _, c := range []struct {
+		field string // or a part of the message
+		spoil func(*Config)
+	}{
+		{"Balancers", func(c *Config) { c.Balancers = 0 }},
+		{"Classes", func(c *Config) { c.Classes = nil }},
+		{"MaxAttempts", func(c *Config) { c.MaxAttempts = 0 }},
+		{"Slots", func(c *Config) { c.Slots = -1 }},
+		{"SlowStartFraction", func(c *Config) { c.SlowStartFraction = 1.5 }},
+		{"OverloadFactor", func(c *Config) { c.OverloadFactor = math.Inf(1) }},
+		{"SlowStartDuration", func(c *Config) { c.SlowStartDuration = -1 }},
+		{"EventInterval", func(c *Config) { c.EventInterval = -1 }},
+		{"LatencyObjective", func(c *Config) { c.Classes[2].LatencyObjective = 0 }},
+		{"Deadline", func(c *Config) { c.Classes[0].Deadline = -1 }},
+		{"LateValue", func(c *Config) { c.Classes[0].LateValue = math.NaN() }},
+		{"Weight", func(c *Config) { c.Tenants[1].Weight = -0.1 }},
+		{"Quota", func(c *Config) { c.Tenants[1].Quota = math.NaN() }},
+		{"adds up to 0", func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} }},
+		{"MaxRetryAfter", func(c *Config) { c.MaxRetryAfter = -1 }},
+	} {
+		t.Run(c.field, func(t *testing.T) {
+			cfg := testConfig()
+			c.spoil(&cfg)
+			_, err := New(cfg, 1, newFakeHost())
+			if err == nil || !strings.Contains(err.Error(), c.field) {
+				t.Fatalf("error %v does not name it", err)
+			}
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) {
+				t.Errorf("error of type %T, want *ConfigError", err)
+			}
+		})
+	}
+}
+
+func TestConfigErrorField(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		field string
+		spoil func(*Config)
+	}{
+		{"negative index", "Index", func(c *Config) { c.Index = -1 }},
+		{"negative cross-zone cost", "CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
+		{"negative ordering delay", "OrderingDelay", func(c *Config) { c.OrderingDelay = -1 }},
+		{"negative close timeout", "DrainCloseTimeout", func(c *Config) { c.DrainCloseTimeout = -1 }},
+		{"negative poll interval", "PollInterval",
+			func(c *Config) { c.PollInterval = -1 }},
+		{"negative budget interval", "RetryBudget", func(c *Config) { c.RetryBudget.Interval = -1 }},
+		{"budget without an interval", "RetryBudget", func(c *Config) { c.RetryBudget.MinRetries = 1 }},
+		{"infinite retry ratio", "RetryBudget", func(c *Config) { c.RetryBudget = RetryBudget{1, 1, math.Inf(1)} }},
+		{"negative minimum of retries", "RetryBudget", func(c *Config) { c.RetryBudget = RetryBudget{1, -1, 0} }},
+		{"negative window", "Classes[1]", func(c *Config) { c.Classes[1].DedupWindow = -1 }},
+		{"objective per work is not a number", "Classes[4]", func(c *Config) { c.Classes[4].ObjectivePerWork = math.NaN() }},
+		{"negative priority weight", "Classes[0]", func(c *Config) { c.Classes[0].PriorityWeight = -1 }},
+		{"infinite sum of weights", "Tenants", func(c *Config) {
+			c.Tenants = []Tenant{{Weight: math.MaxFloat64}, {Weight: math.MaxFloat64}}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			c.spoil(&cfg)
+			_, err := New(cfg, 1, newFakeHost())
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.Field != c.field {
+				t.Errorf("error %v, want one for %s", err, c.field)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,301 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A request that must not run twice was sent again although the first attempt may have run: the client's order was
+// carried out twice. Retries depend on whether the class allows them and on whether the attempt may have run; a result
+// that is not known counts as one that may.
+func TestRetryByIdempotency(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		class   int
+		result  Result
+		retried bool
+		failed  bool // where it is not retried
+	}{
+		{"idempotent after an error", idempotentClass, ServerError, true, false},
+		{"by key after a lost connection", dedupEverywhereClass, ConnectionLost, true, false},
+		{"not idempotent, rejected", nonIdempotentClass, Rejected, true, false},
+		{"not idempotent, without a connection", nonIdempotentClass, ConnectFailed, true, false},
+		{"not idempotent, never sent", nonIdempotentClass, NotSent, true, false},
+		{"not idempotent after an error", nonIdempotentClass, ServerError, false, true},
+		{"not idempotent after a lost connection", nonIdempotentClass, ConnectionLost, false, true},
+		{"not idempotent after a timeout", nonIdempotentClass, TimedOut, false, true},
+		{"not idempotent after an unknown result", nonIdempotentClass, Result(99), false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			submit(b, 0, 1, c.class)
+			finish(b, 30*ms, 1, 0, c.result)
+			if retried := len(h.sends) == 2; retried != c.retried {
+				t.Fatalf("retried: %v, want %v", retried, c.retried)
+			}
+			if !c.retried && h.failed[1] != c.failed {
+				t.Fatalf("failed: %v, want %v (rejected: %v)", h.failed[1], c.failed, h.rejected)
+			}
+			if c.retried && h.sends[1].to == h.sends[0].to {
+				t.Fatal("retried at the same endpoint")
+			}
+		})
+	}
+}
+
+// A request whose attempts all provably never ran may be rejected, so that its client can retry.
+func TestRejectedAfterMaxAttempts(t *testing.T) {
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
+	submit(b, 0, 1, nonIdempotentClass)
+	for i := range 3 {
+		finish(b, time.Duration(i+1)*ms, 1, i, ConnectFailed)
+	}
+	if _, rejected := h.rejected[1]; len(h.sends) != 3 || !rejected {
+		t.Fatalf("%d sends, rejected: %v; want 3 and true", len(h.sends), rejected)
+	}
+}
+
+// Endpoints of one zone or cell share the idempotency keys that they have seen. A retry outside of that group runs the
+// request a second time.
+func TestRetryStaysInDedupScope(t *testing.T) {
+	list := []Endpoint{
+		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
+		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: Ready, Weight: 1, Zone: 1, Cell: 12},
+	}
+	byID := func(id EndpointID) Endpoint { return list[id-1] }
+	for _, c := range []struct {
+		name  string
+		class int
+	}{{"zone", dedupInZoneClass}, {"cell", dedupInCellClass}} {
+		for earlier := range RequestID(8) { // so many that the first attempt meets every endpoint
+			t.Run(fmt.Sprintf("%s after %d requests", c.name, earlier), func(t *testing.T) {
+				b, h := start(t, testConfig(), list)
+				for id := range earlier {
+					submit(b, 0, 100+id, idempotentClass)
+					finish(b, ms, 100+id, 0, Succeeded)
+				}
+				h.sends = nil
+				submit(b, 2*ms, 1, c.class)
+				first := byID(h.sends[0].to)
+				finish(b, 30*ms, 1, 0, ConnectionLost)
+				if len(h.sends) < 2 {
+					if c.class == dedupInZoneClass || first.Zone == 1 {
+						t.Fatalf("the attempt at endpoint %d was not retried", first.ID)
+					}
+					return // alone in its cell
+				}
+				second := byID(h.sends[1].to)
+				if second.Zone != first.Zone || (c.class == dedupInCellClass && second.Cell != first.Cell) {
+					t.Fatalf("retried at endpoint %d after %d, outside the scope", second.ID, first.ID)
+				}
+			})
+		}
+	}
+}
+
+// An attempt that was rejected has left no idempotency key behind, so its zone must not bind the retry: with all of that
+// zone's endpoints out of service, the request would be lost without need. The first attempt that may have run does.
+func TestDedupScopeIgnoresAttemptsThatNeverRan(t *testing.T) {
+	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
+		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
+	b, h := start(t, testConfig(), list)
+	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
+		id := RequestID(100 + len(h.sends))
+		submit(b, 0, id, idempotentClass)
+		finish(b, ms, id, 0, Succeeded)
+	}
+	b.UpdateEndpoints(ms, DeltaUpdate, []Endpoint{{ID: 3, State: Removed}})
+	h.sends = nil
+	submit(b, 2*ms, 1, dedupInZoneClass) // endpoint 2 is next, in zone 1
+	if h.sends[0].to != 2 {
+		t.Fatalf("set-up: the first attempt went to endpoint %d, want 2", h.sends[0].to)
+	}
+	finish(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
+	if len(h.sends) != 2 || h.sends[1].to != 1 {
+		t.Fatalf("sends %v, want a second attempt at endpoint 1", h.sends)
+	}
+	finish(b, 4*ms, 1, 1, ConnectionLost) // it may have run in zone 0, so endpoint 2 is not eligible any more
+	if len(h.sends) != 2 {
+		t.Fatalf("sends %v, want none outside the scope", h.sends)
+	}
+}
+
+// Endpoints forget idempotency keys after a while. A retry later than that runs the request a second time.
+func TestNoRetryAfterDedupWindow(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		class    int
+		rejected bool // else failed
+	}{
+		{"all endpoints drop duplicates", dedupEverywhereClass, true},
+		{"those of one zone do", dedupInZoneClass, false}, // the client's retry may go to another zone
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			submit(b, 0, 1, c.class)
+			finish(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
+			if len(h.sends) != 1 {
+				t.Errorf("%d sends, want 1", len(h.sends))
+			}
+			if _, rejected := h.rejected[1]; rejected != c.rejected || h.failed[1] == c.rejected {
+				t.Errorf("rejected %v, failed %v; want rejected %v, else failed", rejected, h.failed[1], c.rejected)
+			}
+		})
+	}
+}
+
+// The connection for a retry came up so late that endpoints no longer recognised the duplicate when the request was
+// written. The host has to know by when it must be written; other attempts have no such limit.
+func TestRetryHasWriteTimeout(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		class  int
+		result Result
+		want   time.Duration
+	}{
+		{"everywhere, server error", dedupEverywhereClass, ServerError, 400 * ms},
+		{"in zone, connection lost", dedupInZoneClass, ConnectionLost, 400 * ms},
+		{"in cell, timed out", dedupInCellClass, TimedOut, 400 * ms},
+		{"everywhere, rejected", dedupEverywhereClass, Rejected, 0},
+		{"everywhere, connect failed", dedupEverywhereClass, ConnectFailed, 0},
+		{"idempotent, server error", idempotentClass, ServerError, 0},
+		{"not idempotent, rejected", nonIdempotentClass, Rejected, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b, h := start(t, testConfig(), ready(1, 2, 3))
+			submit(b, 0, 1, c.class)
+			finish(b, 300*ms, 1, 0, c.result)
+			if len(h.sends) != 2 || h.sends[0].writeTimeout != 0 || h.sends[1].writeTimeout != c.want {
+				t.Errorf("sends %+v, want two, the second with a write timeout of %v", h.sends, c.want)
+			}
+		})
+	}
+}
+
+// The list entry that removes an endpoint may lack its zone and cell. The retry of what may have run there went to an
+// endpoint in zone 0 then, which did not recognise the duplicate.
+func TestRetryStaysInDedupScopeOfRemovedEndpoint(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class int
+	}{{"zone", dedupInZoneClass}, {"cell", dedupInCellClass}} {
+		t.Run(c.name, func(t *testing.T) {
+			list := []Endpoint{{ID: 1, Zone: 1, Cell: 1, State: Ready, Weight: 1}}
+			b, h := start(t, testConfig(), list)
+			submit(b, 0, 1, c.class)
+			list[0].Zone, list[0].Cell, list[0].State = 0, 0, Removed
+			other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
+			b.UpdateEndpoints(ms, DeltaUpdate, append(list, other))
+			finish(b, 2*ms, 1, 0, ConnectionLost)
+			b.TimerFired(100 * ms)
+			if len(h.sends) != 1 || h.sends[0].to != 1 {
+				t.Errorf("sends %+v, want the first attempt alone", h.sends)
+			}
+		})
+	}
+}
+
+// Retries multiply the load just when endpoints fail. Those of any interval stay within the budget of the requests that
+// were taken in it.
+func TestRetryBudget(t *testing.T) {
+	cfg := testConfig()
+	cfg.RetryBudget = RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5}
+	b, h := start(t, cfg, ready(1, 2, 3))
+	attempts := func(now time.Duration, id RequestID, class int) int {
+		before := len(h.sends)
+		resetAdmission(b)
+		submit(b, now, id, class)
+		finish(b, now, id, 0, Rejected)
+		if len(h.sends) > before+1 {
+			finish(b, now, id, 1, Succeeded)
+		}
+		return len(h.sends) - before
+	}
+	first, second, third := attempts(0, 1, idempotentClass), attempts(0, 2, nonIdempotentClass), attempts(0, 3, nonIdempotentClass)
+	if first != 2 || second != 2 || third != 1 {
+		t.Fatalf("sends %+v: want one retry of the minimum and one for two requests", h.sends)
+	}
+	if _, rejected := h.rejected[3]; !rejected {
+		t.Fatal("a request that never ran was not rejected when the budget was exhausted")
+	}
+	// A second later the requests no longer count, but the retries made just then still do.
+	if n := attempts(time.Second, 4, idempotentClass); n != 1 {
+		t.Fatalf("%d sends at the end of the interval, want 1", n)
+	}
+	if n := attempts(time.Second+1, 5, idempotentClass); n != 2 {
+		t.Fatalf("%d sends once the interval is over, want 2", n)
+	}
+}
+
+// A budget of no retries differs from no budget, which sets no limit.
+func TestRetryBudgetZeroAndAbsent(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		budget RetryBudget
+		sends  int
+	}{
+		{"no retries", RetryBudget{Interval: time.Second}, 1},
+		{"no budget", RetryBudget{}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.RetryBudget = c.budget
+			b, h := start(t, cfg, ready(1, 2, 3))
+			submit(b, 0, 1, idempotentClass)
+			finish(b, 0, 1, 0, Rejected)
+			if len(h.sends) != c.sends {
+				t.Errorf("%d sends, want %d", len(h.sends), c.sends)
+			}
+		})
+	}
+}
+
+func TestRetryBudgetExhausted(t *testing.T) {
+	const now = 5 * time.Second
+	for _, c := range []struct {
+		name     string
+		budget   RetryBudget
+		requests slidingWindow
+		retries  slidingWindow
+		want     bool
+	}{
+		{"no budget", RetryBudget{}, nil, slidingWindow{now, now, now}, false},
+		{"no retries", RetryBudget{Interval: time.Second}, slidingWindow{now, now}, nil, true},
+		{"minimum not used", RetryBudget{Interval: time.Second, MinRetries: 2}, nil, slidingWindow{now}, false},
+		{"minimum used", RetryBudget{Interval: time.Second, MinRetries: 2}, nil, slidingWindow{now, now}, true},
+		{"ratio not used", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now, now}, nil, false},
+		{"ratio needs another request", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now}, nil, true},
+		{"minimum and ratio", RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5},
+			slidingWindow{now, now}, slidingWindow{now}, false},
+		{"request just an interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1},
+			slidingWindow{now - time.Second}, nil, true},
+		{"request within the interval", RetryBudget{Interval: time.Second, RetryRatio: 1},
+			slidingWindow{now - time.Second + 1}, nil, false},
+		{"retry just an interval ago", RetryBudget{Interval: time.Second, MinRetries: 1},
+			nil, slidingWindow{now - time.Second}, true},
+		{"retry before the interval", RetryBudget{Interval: time.Second, MinRetries: 1},
+			nil, slidingWindow{now - time.Second - 1}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := retryBudget{RetryBudget: c.budget, requests: c.requests, retries: c.retries}
+			if got := b.exhausted(now); got != c.want {
+				t.Errorf("exhausted: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestRetryBudgetCounts(t *testing.T) {
+	b := retryBudget{RetryBudget: RetryBudget{Interval: time.Second, MinRetries: 1}}
+	b.requestTaken(0)
+	b.retried(0)
+	b.retried(500 * ms)
+	if len(b.requests) != 1 || len(b.retries) != 2 {
+		t.Fatalf("%d requests and %d retries, want 1 and 2", len(b.requests), len(b.retries))
+	}
+	b.requestTaken(1100 * ms) // those at 0 are older than the interval
+	if len(b.requests) != 1 || len(b.retries) != 1 {
+		t.Fatalf("%d requests and %d retries within the interval, want 1 and 1", len(b.requests), len(b.retries))
+	}
+}
