--- a/policy/config.go
+++ b/policy/config.go
@@ -36,7 +36,7 @@
 	PriorityWeight   float64       // value of a response; a higher one is preferred under overload
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // IdempotentByKey only
-	DedupWindow      time.Duration // IdempotentByKey only: duplicates are dropped for this long after the first send
+	DedupWindow      time.Duration // IdempotentByKey only: duplicates are dropped this long after the first send
 	OrderedByKey     bool          // requests that share a Request.Key run one at a time, in order of arrival
 }
 
@@ -78,7 +78,7 @@
 	EventInterval time.Duration // events come at most this often
 
 	PollsEndpoints bool          // the endpoint list has to be polled
-	PollInterval   time.Duration // a change counts as notified if the list is not polled for this long; 0: unknown
+	PollInterval   time.Duration // not polled for this long, a change counts as notified; 0: unknown
 
 	SlowStartFraction float64       // fraction of its capacity that an endpoint has at its start
 	SlowStartDuration time.Duration // after this it has all of its capacity
@@ -158,7 +158,8 @@
 
 func (r RetryBudget) validate() error {
 	if r.Interval < 0 || unusable(r.MinRetries) || unusable(r.RetryRatio) {
-		return configError("RetryBudget", "has Interval %v, MinRetries %v and RetryRatio %v, all must be numbers from 0",
+		return configError("RetryBudget",
+			"has Interval %v, MinRetries %v and RetryRatio %v, all must be numbers from 0",
 			r.Interval, r.MinRetries, r.RetryRatio)
 	}
 	if r.Interval == 0 && r != (RetryBudget{}) {
@@ -184,8 +185,8 @@
 	sum := 0.0
 	for i, t := range tenants {
 		if unusable(t.Weight) || unusable(t.Quota) {
-			return configError(fmt.Sprintf("Tenants[%d]", i), "has Weight %v and Quota %v, both must be numbers from 0",
-				t.Weight, t.Quota)
+			field := fmt.Sprintf("Tenants[%d]", i)
+			return configError(field, "has Weight %v and Quota %v, both must be numbers from 0", t.Weight, t.Quota)
 		}
 		sum += t.Weight
 	}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -61,7 +61,8 @@
 }
 
 func (s *endpointSet) search(id EndpointID) (index int, found bool) {
-	return slices.BinarySearchFunc(s.all, id, func(e *endpoint, id EndpointID) int { return cmp.Compare(e.ID, id) })
+	byID := func(e *endpoint, id EndpointID) int { return cmp.Compare(e.ID, id) }
+	return slices.BinarySearchFunc(s.all, id, byID)
 }
 
 // find returns the listed endpoint of that id, or nil.
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -55,7 +55,12 @@
 }
 
 func newGossip(cfg Config, objective meanObjective) gossip {
-	return gossip{enabled: cfg.CanGossip, index: cfg.Index, objective: objective, peers: make([]peer, cfg.Balancers)}
+	return gossip{
+		enabled:   cfg.CanGossip,
+		index:     cfg.Index,
+		objective: objective,
+		peers:     make([]peer, cfg.Balancers),
+	}
 }
 
 // decay returns by what factor the fleet's samples have decayed by now.
--- a/policy/host.go
+++ b/policy/host.go
@@ -96,7 +96,7 @@
 	Shed               uint64 // requests rejected by admission
 	CrossZoneSends     uint64 // attempts to another zone, where crossing has a cost
 	Retries            uint64 // attempts after a request's first
-	LateRejected       uint64 // requests rejected on arrival as a response would be late, mostly clients' own retries
+	LateRejected       uint64 // rejected on arrival as a response would be late, mostly clients' own retries
 	Queued             uint64 // requests that had to wait for a slot or an endpoint
 	GossipSent         uint64 // messages broadcast
 	GossipReceived     uint64 // messages of peers that were accepted
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -16,7 +16,7 @@
 
 	comparisonsNeeded = 4                     // pairs of reports that are compared
 	changesNeeded     = comparisonsNeeded - 1 // of them must differ for reports to count as fresh
-	freshSubsetFactor = 3                     // fresh reports find free endpoints best among this many times more
+	freshSubsetFactor = 3                     // fresh reports find free endpoints among this many times more
 
 	reportedHeadroom = 2.0 // an endpoint is full at its part of all balancers' requests and this many more
 )
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	failureLatency = 8.0                // a failure counts as a response that took this multiple of the usual time
+	failureLatency = 8.0                // a failure counts as a response that took this many times as long
 	outlierLatency = failureLatency / 2 // from this relative latency on an endpoint is an outlier
 	latencyGain    = 4                  // one over this is the weight of a sample in the relative latency,
 	congestionGain = 8                  // in an endpoint's congestion,
 	classGain      = 16                 // in a class's mean latency
 	overallGain    = 32                 // and in that of all classes
 
-	ejectionBase         = 20 * time.Millisecond // no turns for this after a second failure in a row, then doubled
+	ejectionBase         = 20 * time.Millisecond // no turns after a second failure in a row, then doubled
 	maxEjectionDoublings = 5
 	restartSilence       = time.Second // an outlier that responds after a longer silence may have restarted
 )
@@ -68,7 +68,8 @@
 	silence := now - e.unresponsiveSince
 	if e.unresponsiveSince > 0 && e.relativeLatency > outlierLatency && silence > restartSilence {
 		e.slowStartUntil = max(e.slowStartUntil, now+b.cfg.SlowStartDuration)
-		b.host.Log(HealthEvent{Kind: EndpointRecovered, Endpoint: e.ID, InFlight: e.inFlight, Unresponsive: silence})
+		event := HealthEvent{Kind: EndpointRecovered, Endpoint: e.ID, InFlight: e.inFlight, Unresponsive: silence}
+		b.host.Log(event)
 	}
 	e.unresponsiveSince, e.consecutiveFailures, e.ejectedUntil = 0, 0, 0
 }
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -69,7 +69,9 @@
 // One that is ejected or at its limit is; it keeps its turn for the next
 // request. Ejection stands beside the limit because an endpoint that rejects
 // everything at once is never at its limit, and would draw all requests.
-func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*endpoint) (next *endpoint, diverted bool) {
+func (b *Balancer) nextInTurn(
+	now time.Duration, r *request, among []*endpoint,
+) (next *endpoint, diverted bool) {
 	earliestPassedOver := math.Inf(1)
 	for _, e := range among {
 		switch {
--- a/policy/shape_test.go
+++ b/policy/shape_test.go
@@ -14,7 +14,7 @@
 // Engineers on call read this package at night: no file may be too long to read in one go, no function longer than a
 // screen, and the package comment says what it is for.
 func TestPackageStaysReadable(t *testing.T) {
-	const maxFileLines, maxColumns, maxFunctionLines = 300, 120, 50
+	const maxFileLines, maxColumns, maxFunctionLines = 300, 110, 50
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -99,6 +99,7 @@
 // backoff returns the pause after a number of failures, with jitter so that
 // balancers do not call all at once.
 func (b *Balancer) backoff(failures int) time.Duration {
-	pause := min(initialBackoff<<min(failures, maxBackoffDoublings), maxBackoff, cmp.Or(b.cfg.PollInterval, maxBackoff))
+	pause := initialBackoff << min(failures, maxBackoffDoublings)
+	pause = min(pause, maxBackoff, cmp.Or(b.cfg.PollInterval, maxBackoff))
 	return time.Duration(float64(pause) * (0.5 + b.rng.Float64()))
 }
