--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -31,7 +31,6 @@
 	Result    policy.Result
 	Duration  time.Duration // of the attempt
 	Answered  bool          // the client has its response, and the request is complete
-	Report    loadreport.Report
 }
 
 // HealthChecked is the result of a health check.
@@ -132,7 +131,7 @@
 	event.Result = resultOf(c.uint16())
 	event.Duration = c.duration()
 	event.Answered = c.bool()
-	event.Report = c.loadReport()
+	c.loadReport() // the policy does not use it; read, so that a cut one is an error
 	return event, c.err()
 }
 
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -53,7 +53,7 @@
 	r.endAction(start)
 }
 
-// Reject ends a request that never ran; the client may retry after the pause.
+// Reject ends a request that the client may retry without harm, best after the pause.
 func (r *Reply) Reject(instance uint32, id policy.RequestID, pause time.Duration) {
 	start := r.beginAction(ActionReject, instance)
 	r.requestID(id)
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -16,7 +16,6 @@
 	lines    []string
 	open     []goldenAttempt
 	attempts map[RequestID]int // sent so far
-	closed   map[RequestID]bool
 }
 
 // goldenAttempt is an attempt in flight.
@@ -42,12 +41,10 @@
 
 func (h *goldenHost) Reject(id RequestID, retryAfter time.Duration) {
 	h.record(2, uint64(id), int64(retryAfter))
-	h.closed[id] = true
 }
 
 func (h *goldenHost) Fail(id RequestID) {
 	h.record(3, uint64(id))
-	h.closed[id] = true
 }
 
 func (h *goldenHost) Cancel(id RequestID, attempt int) { h.record(4, uint64(id), attempt) }
@@ -215,7 +212,7 @@
 // runGolden plays a seed and returns the digest of what the Balancer did, and how many actions that was.
 func runGolden(t *testing.T, seed uint64) (digest string, actions int) {
 	t.Helper()
-	host := &goldenHost{now: time.Hour, attempts: map[RequestID]int{}, closed: map[RequestID]bool{}}
+	host := &goldenHost{now: time.Hour, attempts: map[RequestID]int{}}
 	w := &goldenRun{rng: rand.New(rand.NewPCG(seed, 11)), host: host, reports: true}
 	w.cfg = w.randomConfig()
 	b, err := New(w.cfg, seed, host)
