--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -34,15 +34,14 @@
 	// callTimeout limits a call that discovery should answer immediately.
 	callTimeout = 6 * time.Second
 
-	// maxHedgeInterval is the longest interval at which fetch makes another call while none has been
-	// answered.
+	// maxHedgeInterval is the longest interval between the hedged calls of fetch.
 	maxHedgeInterval = 2 * time.Second
 
 	// maxConcurrentCalls limits the calls of one fetch that are in flight, as each holds a file descriptor.
 	maxConcurrentCalls = 6
 
-	// initialBackoff is the pause after the first failed call, with a pushed list. It doubles with each
-	// failure.
+	// initialBackoff is the pause after the first failed call, before jitter. It doubles with each failure. A
+	// polled list has no backoff, as the Balancer decides when to poll.
 	initialBackoff = 200 * time.Millisecond
 
 	// maxBackoff is the longest pause after a failed call, before jitter.
@@ -79,13 +78,14 @@
 	hedgeInterval   time.Duration        // interval between hedged calls, at most maxHedgeInterval
 	maxBackoff      time.Duration        // longest pause after a failed call, before jitter
 
-	// version is the version of the last list or update from the followed address. It is negative if no list
-	// is known, or after an invalid response. Only run's goroutine uses it.
+	// version is the version of the last update from the followed address or, before the first update, of the
+	// cached list. It is negative if no list is known, after an invalid response and after a change of address.
+	// Only run's goroutine uses it.
 	version int64
 
 	mu              sync.Mutex // guards the fields below
 	address         string
-	addressChanged  bool               // reload has set address since the last call of startFollowing
+	addressChanged  bool               // reload has changed address since the last call of startFollowing
 	cancelFollow    context.CancelFunc // cancels the calls that follow the list; nil until run has started
 	idleConn        net.Conn           // connection for the next call, or nil
 	idleConnAddress string             // address that idleConn is connected to
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -240,10 +240,9 @@
 	}
 }
 
-// Guards against requests to a draining server after the sidecar counts as notified of the drain, which is 2
-// s after the end of the wait of a watch that discovery never answered. The client must read the change
-// before that, whatever the wait of the watch was, even if discovery needs a second to answer the call that
-// reads it.
+// Guards against requests to a draining server after the sidecar counts as notified of the drain. If discovery
+// never answers a watch, that is 2 s after the end of the watch's wait. The client must read the change before
+// then, for any wait of the watch, even if discovery needs a second to answer the call that reads the change.
 func TestMissedChangeIsReadBeforeNotified(t *testing.T) {
 	for range 20 { // watches with different waits
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -13,8 +13,8 @@
 )
 
 // Guards against a request that is sent to a draining or removed server because the endpoint update arrives
-// while the connection for the attempt is being opened. The attempt must end as NotSent, and the next one go
-// to another server.
+// while the connection for the attempt is being opened. The attempt must end as NotSent, and the next
+// attempt must go to another server.
 func TestServerDrainsWhileDialing(t *testing.T) {
 	for _, lifecycle := range []string{"draining", "gone"} {
 		t.Run(lifecycle, func(t *testing.T) {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	list := listed(1, "ready", addresses...)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" { // a request for changes: there are none
+		if r.URL.RawQuery != "" { // a call for changes: never answered, as there are none
 			<-r.Context().Done()
 			return
 		}
