--- a/internal/sidecar/conn.go
+++ b/internal/sidecar/conn.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// conn is a connection to a server. It carries one exchange at a time, whose goroutine owns it; while it is
-// idle the pool does.
+// conn is a connection to a server. It carries one exchange at a time and is owned by the exchange's
+// goroutine, or by the pool while it is idle.
 type conn struct {
 	net.Conn
 	reader        *bufio.Reader
-	responseLimit io.LimitedReader // what may still be read for the current response
-	idleSince     time.Duration
+	responseLimit io.LimitedReader // bounds the bytes read for the current response
+	idleSince     time.Duration    // when putIdle returned it to the pool
 }
 
 func newConn(raw net.Conn) *conn {
@@ -25,19 +25,19 @@
 }
 
 // reusable reports whether the connection may carry another exchange after a complete response: the server
-// keeps it open, and nothing has arrived behind the response.
+// keeps it open and has sent nothing after the response.
 func (c *conn) reusable(res *serverResponse) bool {
 	return !res.Close && c.reader.Buffered() == 0
 }
 
-// connAlive reports whether an idle connection may be used: the server has neither closed nor reset it, as it
-// does at its idle timeout, when it drains and when it restarts, nor sent anything unrequested.
+// connAlive reports whether an idle connection may be used. It may not if the server has closed or reset it,
+// as servers do at their idle timeout, when they drain and when they restart, or has sent unrequested bytes.
 //
-// It reads without waiting: EAGAIN means that the connection is open and nothing has arrived.
+// It reads without blocking: EAGAIN means that the connection is open and nothing has arrived.
 func connAlive(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return true // nothing can be found out
+		return true // not a TCP connection, so its state is unknown
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -48,7 +48,7 @@
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
 		alive = err == syscall.EAGAIN
-		return true // never wait
+		return true // don't wait for data
 	})
 	return err == nil && alive
 }
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -13,48 +13,49 @@
 
 const (
 	countersInterval = 10 * time.Second // between two log lines with the counters
-	eventQueueLength = 256              // events that may wait for the loop before post blocks
+	eventQueueLength = 256              // events that may wait for the loop; post blocks while the queue is full
 )
 
-// eventLoop owns the Balancer, which is single-threaded, and all state of requests and endpoints. One goroutine,
-// which serve starts with run and ends through its context, carries out every event in the order of arrival;
-// everything else in this package reaches that state only by posting an event.
+// eventLoop owns the Balancer, which is single-threaded, and all state of requests and endpoints. A single
+// goroutine runs every event in order of arrival: serve starts it with run and ends it through its context.
+// All other code of this package reaches that state only by posting an event.
 //
-// So what must happen exactly once is ensured here without locks: a request's response and an attempt's Outcome.
+// This guarantees without locks that no request gets a second response, and that each attempt has exactly one
+// Outcome.
 //
-// The files: eventloop.go has the loop and its timers, requests.go the request table, endpoints.go the endpoint
-// table, host.go the methods that the Balancer calls.
+// eventloop.go has the loop and its timers, requests.go the request table, endpoints.go the endpoint table
+// and host.go the policy.Host methods, which the Balancer calls.
 type eventLoop struct {
 	clock          clock
 	balancer       *policy.Balancer
 	transport      *transport
-	watchEndpoints func()           // asks the discovery client for the endpoint list; must not block
-	peers          *gossipTransport // sends gossip to the other sidecars; nil: there is no way to them
+	watchEndpoints func()           // has the discovery client request the endpoint list; must not block
+	peers          *gossipTransport // broadcasts gossip to the other sidecars; nil: no peers or no gossip socket
 	maxAttempts    int              // limit on the attempts of one request
 
 	lastID atomic.Uint64                // of the requests submitted so far
-	events chan func(now time.Duration) // posted, not yet run
+	events chan func(now time.Duration) // posted events that have not run yet
 
-	// The rest belongs to the loop's goroutine.
+	// The fields below are used only on the loop's goroutine.
 
-	now         time.Duration // the time of the event being run
-	requests    map[policy.RequestID]*request
-	endpoints   map[policy.EndpointID]*endpoint // the servers listed and not removed
-	deniedSends []policy.Outcome                // see reportDeniedSends
-	timersAt    []time.Duration                 // when TimerFired is to be called, ascending, no duplicates
-	timer       *time.Timer                     // set for the first of timersAt
+	now           time.Duration // time of the event being run
+	requests      map[policy.RequestID]*request
+	endpoints     map[policy.EndpointID]*endpoint // listed endpoints that have not been removed
+	deniedSends   []policy.Outcome                // sends not carried out and not yet reported
+	pendingTimers []time.Duration                 // times at which to call TimerFired, ascending, without duplicates
+	timer         *time.Timer                     // expires at the first of pendingTimers
 }
 
-func newEventLoop(cfg *Config, c clock, t *transport) (*eventLoop, error) {
+func newEventLoop(cfg *Config, clk clock, tr *transport) (*eventLoop, error) {
 	l := &eventLoop{
-		clock:          c,
-		transport:      t,
+		clock:          clk,
+		transport:      tr,
 		watchEndpoints: func() {},
 		maxAttempts:    cfg.Policy.MaxAttempts,
 		events:         make(chan func(time.Duration), eventQueueLength),
 		requests:       make(map[policy.RequestID]*request),
 		endpoints:      make(map[policy.EndpointID]*endpoint),
-		timer:          time.NewTimer(time.Hour), // armTimer sets it; if it fires before, fireTimers finds nothing expired
+		timer:          time.NewTimer(time.Hour), // until armTimer resets it, an expiry finds no expired timer
 	}
 	var err error
 	if l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
@@ -63,13 +64,13 @@
 	return l, nil
 }
 
-// post hands an event to the loop. It may be called from any goroutine but the loop's own, and blocks while
-// eventQueueLength events are waiting. The loop never blocks on those who post, so the queue always empties;
-// from the loop's own goroutine a full queue would be a deadlock.
+// post queues an event for the loop, and blocks while eventQueueLength events are queued. It may be called
+// from any goroutine but the loop's own, where a full queue would be a deadlock. The loop never blocks on the
+// goroutines that post, so the queue always drains.
 func (l *eventLoop) post(event func(now time.Duration)) { l.events <- event }
 
-// run starts the Balancer with the cached endpoint list and runs event after event until ctx ends. Events posted
-// after that stay in the queue: the process is about to exit.
+// run starts the Balancer with the cached endpoint list, then runs events until ctx ends. Events that are
+// still queued then never run, as the process is about to exit.
 func (l *eventLoop) run(ctx context.Context, cached endpointlist.List) {
 	l.start(cached)
 	counters := time.NewTicker(countersInterval)
@@ -98,44 +99,44 @@
 	l.applyEndpoints(cached, policy.CachedUpdate)
 }
 
-// fireTimers calls the Balancer once for all timers that have expired.
+// fireTimers removes the expired timers and calls the Balancer once for all of them.
 func (l *eventLoop) fireTimers() {
 	expired := 0
-	for expired < len(l.timersAt) && l.timersAt[expired] <= l.now {
+	for expired < len(l.pendingTimers) && l.pendingTimers[expired] <= l.now {
 		expired++
 	}
-	l.timersAt = slices.Delete(l.timersAt, 0, expired)
+	l.pendingTimers = slices.Delete(l.pendingTimers, 0, expired)
 	if expired > 0 {
 		l.balancer.TimerFired(l.now)
 	}
 	l.armTimer()
 }
 
-// addTimer has the Balancer called at a time. Timers for the same time share one call.
+// addTimer schedules a call of the Balancer's TimerFired. Timers for the same time share one call.
 func (l *eventLoop) addTimer(at time.Duration) {
-	i, found := slices.BinarySearch(l.timersAt, at)
+	i, found := slices.BinarySearch(l.pendingTimers, at)
 	if found {
 		return
 	}
-	l.timersAt = slices.Insert(l.timersAt, i, at)
+	l.pendingTimers = slices.Insert(l.pendingTimers, i, at)
 	if i == 0 {
 		l.armTimer()
 	}
 }
 
 func (l *eventLoop) armTimer() {
-	if len(l.timersAt) > 0 {
-		l.timer.Reset(l.timersAt[0] - l.now)
+	if len(l.pendingTimers) > 0 {
+		l.timer.Reset(l.pendingTimers[0] - l.now)
 	}
 }
 
-// logCounters writes the counters since the start.
+// logCounters logs the counters, which count from the start of the process.
 func (l *eventLoop) logCounters() {
 	slog.LogAttrs(context.Background(), slog.LevelInfo, "counters", l.counters()...)
 }
 
-// counters returns the counters of the Balancer, the transport and gossip. Their keys are relied on outside this
-// program: see docs/ARCHITECTURE.md.
+// counters returns the counters of the Balancer, the transport and gossip. Programs outside this one depend
+// on the keys: see docs/ARCHITECTURE.md.
 func (l *eventLoop) counters() []slog.Attr {
 	return []slog.Attr{
 		policyCounters(l.balancer.Counters()),
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -15,33 +15,34 @@
 	"cranehatch/policy"
 )
 
-// newTestLoop is a loop whose goroutine is the test itself, with one server in its endpoint list.
+// newTestLoop returns a loop that is run by the test's own goroutine, with one server in its endpoint list.
 func newTestLoop(t *testing.T, address string) *eventLoop {
 	t.Helper()
 	return newTestLoopFor(t, testConfig(t, listed(1, "ready", address), nil))
 }
 
-// newTestLoopFor is such a loop with a configuration of its own.
+// newTestLoopWithConfig is newTestLoop with a given configuration.
 func newTestLoopFor(t *testing.T, cfg *Config) *eventLoop {
 	t.Helper()
-	c := newClock()
-	l, err := newEventLoop(cfg, c, newTransport(cfg, c))
+	clk := newClock()
+	l, err := newEventLoop(cfg, clk, newTransport(cfg, clk))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.now = c.now()
+	l.now = clk.now()
 	l.balancer.Start(l.now)
 	l.applyEndpoints(cfg.CachedEndpoints, policy.CachedUpdate)
 	return l
 }
 
-// takeEvent takes the next event without running it.
+// takeEvent takes the next event from the queue without running it. what names the event in the failure
+// message.
 func (l *eventLoop) takeEvent(t *testing.T, what string) func(now time.Duration) {
 	t.Helper()
 	return wait(t, what, l.events)
 }
 
-// runNextEvent runs the next event, and reports what was not sent in it, as the loop does.
+// runNextEvent runs the next event and then reports the sends that it denied, as run does.
 func (l *eventLoop) runNextEvent(t *testing.T) {
 	t.Helper()
 	event := l.takeEvent(t, "an event")
@@ -50,7 +51,8 @@
 	l.reportDeniedSends()
 }
 
-// updateEndpoints applies a full list of servers in one state, at addresses, with the ids s-0, s-1 and so on.
+// updateEndpoints applies a full endpoint list. The servers at the addresses have the ids s-0, s-1 and so on,
+// and all the same state.
 func (l *eventLoop) updateEndpoints(t *testing.T, lifecycle string, addresses ...string) {
 	t.Helper()
 	update, err := endpointlist.Parse([]byte(listed(2, lifecycle, addresses...)), nil)
@@ -61,7 +63,8 @@
 	l.reportDeniedSends()
 }
 
-// addRequest enters a request that the Balancer does not know, so that the test decides for it.
+// addRequest adds a request to the table without the Balancer, so that the test takes the Balancer's
+// decisions.
 func (l *eventLoop) addRequest(id policy.RequestID) (*request, chan response) {
 	reply := make(chan response, 1)
 	r := &request{outbound: newTestOutboundRequest("1"), reply: reply, deadline: l.now + generous}
@@ -69,18 +72,18 @@
 	return r, reply
 }
 
-// dialGate has connections to servers come up when the test says so.
+// dialGate holds each dial to a server until the test lets it proceed.
 type dialGate struct {
-	started chan string // the address of each dial, as it begins
-	admit   chan bool   // each item lets one dial go on
+	started chan string // the address of each dial as it begins
+	admit   chan bool   // each item lets one dial proceed
 }
 
-// gateDials puts a gate before a transport's dials. They wait for it whatever their context says, as a connection may
-// come up at any time.
-func gateDials(u *transport) *dialGate {
+// gateDials installs a gate in front of a transport's dials. A dial waits for the gate even when its context
+// has ended, as a dial may succeed at any time.
+func gateDials(tr *transport) *dialGate {
 	gate := &dialGate{started: make(chan string, 100), admit: make(chan bool, 100)}
-	dial := u.dial
-	u.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+	dial := tr.dial
+	tr.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 		gate.started <- address
 		<-gate.admit
 		return dial(context.Background(), network, address)
@@ -88,25 +91,27 @@
 	return gate
 }
 
-// Timers for the same time share one call of the Balancer, and the others wait for theirs.
-func TestTimersAreMerged(t *testing.T) {
+// Timers set for the same time share one call of the Balancer. Timers that have not expired yet must stay set
+// when an earlier one fires.
+func TestTimersForTheSameTimeAreMerged(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
-	l.timersAt = nil
+	l.pendingTimers = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
 		l.SetTimer(d * time.Millisecond)
 	}
-	if len(l.timersAt) != 4 || l.timersAt[0] != now || l.timersAt[1] != now+10*time.Millisecond {
-		t.Fatalf("timers at %v, set at %v", l.timersAt, now)
+	if len(l.pendingTimers) != 4 || l.pendingTimers[0] != now || l.pendingTimers[1] != now+10*time.Millisecond {
+		t.Fatalf("pendingTimers = %v, set at %v, want 4 of them, the first two due now and 10ms later", l.pendingTimers, now)
 	}
 	l.now = now + 15*time.Millisecond
 	l.fireTimers()
-	if first := l.timersAt[0]; first > now+20*time.Millisecond {
-		t.Errorf("the first timer is set for %v, want 20ms at most", first-now)
+	if first := l.pendingTimers[0]; first > now+20*time.Millisecond {
+		t.Errorf("first pending timer = %v from now, want at most 20ms", first-now)
 	}
 }
 
-// A counter that is added to the policy and forgotten in the log line would be missed by the engineers on call.
+// A counter that is added to policy.Counters must also be logged, as the engineers on call see only the log
+// line.
 func TestEachPolicyCounterIsLogged(t *testing.T) {
 	var counters policy.Counters
 	fields := reflect.ValueOf(&counters).Elem()
@@ -118,12 +123,12 @@
 	for i := range fields.NumField() {
 		want := fmt.Sprintf(" policy.%s=%d", snakeCase(fields.Type().Field(i).Name), 1000+i)
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("log %q, want%s", &log, want)
+			t.Errorf("log = %q, want it to contain %s", &log, want)
 		}
 	}
 }
 
-// snakeCase turns SlowStart into slow_start.
+// snakeCase converts SlowStart to slow_start.
 func snakeCase(name string) string {
 	var snake strings.Builder
 	for i, r := range name {
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -9,87 +9,88 @@
 	"cranehatch/policy"
 )
 
-// deadlines limit one exchange, in the clock's time.
+// deadlines are the time limits of one exchange, as times of the sidecar's clock.
 type deadlines struct {
-	response time.Duration // the exchange is abandoned unless its response is complete by then
-	write    time.Duration // nothing is written from then on; not after response
+	response time.Duration // the exchange fails if its response is not complete by then
+	write    time.Duration // the request must not be written from then on; not later than response
 }
 
-// exchange is the state of one attempt or health check: it dials, writes its request, reads the response and
-// is finished. Any goroutine may abandon it before it is finished; the goroutine that carries it out moves it
-// on with beginDial, beginWrite and finish.
+// exchange is the state of one attempt or health check, which connects, writes its request and reads the
+// response. The goroutine that carries it out enters each step with beginDial, beginWrite or finish. Any
+// goroutine may abandon it before it is finished.
 type exchange struct {
 	mu        sync.Mutex
 	abandoned bool
-	result    policy.Result // of an abandoned exchange
-	written   bool          // some of its request may have been sent
-	stop      func()        // interrupts the current step: cancels the dial or closes the connection
+	result    policy.Result // set when the exchange is abandoned
+	written   bool          // part of its request may have been sent
+	interrupt func()        // cancels the dial or closes the connection in use; nil: there is neither
 }
 
-// cancel abandons the exchange. If its request is not yet being written, it will not be.
+// cancel abandons the exchange. A request that is not yet being written is never written.
 func (x *exchange) cancel() { x.abandon(policy.Cancelled, false) }
 
-// abandonUnwritten abandons the exchange with an outcome, unless its request is being written already.
-func (x *exchange) abandonUnwritten(outcome policy.Result) { x.abandon(outcome, true) }
+// abandonUnwritten abandons the exchange with a result, unless its request is already being written.
+func (x *exchange) abandonUnwritten(result policy.Result) { x.abandon(result, true) }
 
-func (x *exchange) abandon(outcome policy.Result, onlyUnwritten bool) {
+func (x *exchange) abandon(result policy.Result, onlyUnwritten bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if onlyUnwritten && x.written {
 		return
 	}
 	if !x.abandoned {
-		x.abandoned, x.result = true, outcome
+		x.abandoned, x.result = true, result
 	}
-	if x.stop != nil {
-		x.stop()
+	if x.interrupt != nil {
+		x.interrupt()
 	}
 }
 
-// beginDial enters how to interrupt the dial. It returns false if the exchange is abandoned.
+// beginDial records how to interrupt the dial. It returns false if the exchange is abandoned.
 func (x *exchange) beginDial(cancel func()) bool { return x.advance(false, cancel) }
 
-// beginWrite marks the request as written and enters how to interrupt the write and the read behind it. It
-// returns false if the exchange is abandoned: nothing may be written then.
+// beginWrite marks the request as written and records how to interrupt the write and the read of the
+// response. It returns false if the exchange is abandoned; the request must not be written then.
 func (x *exchange) beginWrite(closeConn func()) bool { return x.advance(true, closeConn) }
 
-// finish ends the exchange after its response. It returns false if the exchange is abandoned, and its
-// connection closed with that.
+// finish ends the exchange once its response has been read. It returns false if the exchange was abandoned,
+// which closed its connection.
 func (x *exchange) finish() bool { return x.advance(true, nil) }
 
-// advance moves to the next step, unless the exchange is abandoned: then it changes nothing.
+// advance enters the next step and returns true, or returns false and changes nothing if the exchange is
+// abandoned.
 //
-// It replaces stop under the lock. A late cancel must not close a connection that is back in the pool and
-// may carry another exchange by then: after finish there is nothing to stop, and once abandoned, no
-// connection gets entered.
-func (x *exchange) advance(written bool, stop func()) bool {
+// It replaces interrupt under the lock. A late cancel must not close a connection that is back in the pool
+// and may carry another exchange: after finish there is nothing left to interrupt, and no connection is
+// recorded once the exchange is abandoned.
+func (x *exchange) advance(written bool, interrupt func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.abandoned {
 		return false
 	}
 	x.written = x.written || written
-	x.stop = stop
+	x.interrupt = interrupt
 	return true
 }
 
-// abandonedAs returns the outcome of the exchange, if it is abandoned.
-func (x *exchange) abandonedAs() (outcome policy.Result, abandoned bool) {
+// abandonedResult returns the result with which the exchange was abandoned, if it was.
+func (x *exchange) abandonedResult() (result policy.Result, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.result, x.abandoned
 }
 
 // roundTrip carries out an exchange: it sends a request once and reads the response. Without a complete
-// response it returns nil and an outcome that says whether the request may have run.
+// response it returns nil and a result that shows whether the request may have run.
 func (t *transport) roundTrip(x *exchange, to *endpoint, request *outboundRequest, limits deadlines) (*serverResponse, policy.Result) {
 	c, err := t.connectToWrite(x, to, request, limits.write)
 	if err != nil {
 		return nil, t.resultBeforeWrite(x, limits, err)
 	}
 	t.unregisterUnwritten(x)
-	writeBegan := t.clock.now()
-	if err := t.writeRequest(c, request, writeBegan, limits.response); err != nil {
+	writeStart := t.clock.now()
+	if err := t.writeRequest(c, request, writeStart, limits.response); err != nil {
 		t.discard(c)
 		return nil, t.resultBeforeWrite(x, limits, err)
 	}
@@ -100,18 +101,19 @@
 		t.discard(c)
 	}
 	if err != nil {
-		return nil, t.resultAfterWrite(x, to, writeBegan, err)
+		return nil, t.resultAfterWrite(x, to, writeStart, err)
 	}
 	return res, policy.Succeeded
 }
 
-// connectToWrite returns a connection on which the request must be written now, or an error if it must not be.
+// connectToWrite returns a connection on which the request must be written immediately, or an error if it
+// must not be written.
 //
-// The event loop may learn late that a client has gone, where CPU is short and much is under way. Nothing
-// must be sent for that client meanwhile: so this looks at the client's connection itself, right before it
-// dials and right before the request is written.
+// The event loop may be late to process a client's disconnect when CPU time is short and many requests are in
+// flight. Nothing must be sent for that client meanwhile, so connectToWrite checks the client's connection
+// itself, before it dials and again right before the request is written.
 func (t *transport) connectToWrite(x *exchange, to *endpoint, request *outboundRequest, writeDeadline time.Duration) (*conn, error) {
-	if request.clientGone() {
+	if request.clientDisconnected() {
 		x.abandonUnwritten(policy.NotSent)
 		return nil, errAbandoned
 	}
@@ -119,19 +121,20 @@
 	if err != nil {
 		return nil, err
 	}
-	// A connection may come up after the write deadline. A repeat that is written then may run a second
-	// time, as servers no longer drop it: see policy.Host.Send.
-	if request.clientGone() || t.clock.now() >= writeDeadline {
+	// The dial may complete after the write deadline. A retry that is written then may run a second time, as
+	// servers no longer recognise it as a duplicate: see policy.Host.Send.
+	if request.clientDisconnected() || t.clock.now() >= writeDeadline {
 		x.abandonUnwritten(policy.NotSent)
 	}
 	if !x.beginWrite(func() { c.Conn.Close() }) {
-		t.putIdle(to, c) // unused
+		t.putIdle(to, c) // nothing was written on it
 		return nil, errAbandoned
 	}
 	return c, nil
 }
 
-// connect returns an idle connection that is alive, or dials one that must be up before the write deadline.
+// connect returns an idle connection that is alive, or dials a new one within the dial timeout and before the
+// write deadline.
 func (t *transport) connect(x *exchange, to *endpoint, writeDeadline time.Duration) (*conn, error) {
 	for {
 		c, err := t.acquire(to)
@@ -148,7 +151,7 @@
 	}
 }
 
-// dialReserved opens a connection that acquire has reserved.
+// dialReserved dials a connection that acquire has reserved.
 func (t *transport) dialReserved(x *exchange, to *endpoint, writeDeadline time.Duration) (*conn, error) {
 	limit := min(t.dialTimeout, writeDeadline-t.clock.now())
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -164,11 +167,12 @@
 	return newConn(raw), nil
 }
 
-// writeRequest writes a request in a single call, so that an error means that its last byte was not sent.
+// writeRequest writes a request in a single call of Write, so that an error means that its last byte was not
+// sent.
 func (t *transport) writeRequest(c *conn, request *outboundRequest, now, deadline time.Duration) error {
 	_ = c.SetDeadline(t.clock.at(deadline)) // fails only on a closed connection, as the write then does
 	if _, err := c.Write(request.encode(deadline - now)); err != nil {
-		return fmt.Errorf("transport: write the request: %w", err)
+		return fmt.Errorf("transport: write request: %w", err)
 	}
 	return nil
 }
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -10,62 +10,67 @@
 	"cranehatch/policy"
 )
 
-// The Balancer calls the methods of this file, which are those of policy.Host, from within the calls that the event
-// loop makes to it: so on the loop's goroutine. They must neither block nor call the Balancer.
+// The methods of this file implement policy.Host. The Balancer calls them only from within calls that the
+// event loop makes to it, so they run on the loop's goroutine. They must not block and must not call back
+// into the Balancer.
 var _ policy.Host = (*eventLoop)(nil)
 
-// Send starts an attempt, which ends at the latest after timeout (0: no limit) or at the client's deadline. It is
-// written within the given time (0: no limit) or not at all. Each call brings one Outcome; where maySend says no,
-// that is NotSent.
-func (l *eventLoop) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
+// Send starts an attempt, which ends at the client's deadline or after timeout (0: no limit), whichever is
+// earlier. Its request is written within writeTimeout (0: no limit) or not at all. Each call for a request in
+// the table produces exactly one Outcome, which is NotSent if the attempt must not be sent.
+func (l *eventLoop) Send(id policy.RequestID, to policy.EndpointID, timeout, writeTimeout time.Duration) {
 	r := l.requests[id]
 	if r == nil {
-		return // closed, with all attempts ended: the Balancer has forgotten it too
+		return // closed with all attempts ended; the Balancer no longer has it either
 	}
-	number := len(r.attempts)
+	attempt := len(r.attempts)
 	r.inFlight++
 	target := l.endpoints[to]
-	if target == nil || !l.maySend(r, timeout, within) {
+	if target == nil || !l.maySend(r, timeout, writeTimeout) {
 		r.attempts = append(r.attempts, nil)
-		l.deniedSends = append(l.deniedSends, policy.Outcome{RequestID: id, Attempt: number, Result: policy.NotSent})
+		l.deniedSends = append(l.deniedSends, policy.Outcome{RequestID: id, Attempt: attempt, Result: policy.NotSent})
 		return
 	}
-	deadline, writeBy := l.attemptDeadlines(r, timeout, within)
+	deadline, writeDeadline := l.attemptDeadlines(r, timeout, writeTimeout)
 	attemptDone := func(result attemptResult) {
-		l.post(func(time.Duration) { l.attemptEnded(id, number, result) })
+		l.post(func(time.Duration) { l.attemptEnded(id, attempt, result) })
 	}
-	r.attempts = append(r.attempts, l.transport.send(target, r.outbound, deadline, writeBy, attemptDone))
+	r.attempts = append(r.attempts, l.transport.send(target, r.outbound, deadline, writeDeadline, attemptDone))
 }
 
-// maySend tells whether a request is open, has attempts and time left, and was given times that have not passed.
-func (l *eventLoop) maySend(r *request, timeout, within time.Duration) bool {
+// maySend reports whether a request is open and has attempts and time left, and neither time limit has
+// expired.
+func (l *eventLoop) maySend(r *request, timeout, writeTimeout time.Duration) bool {
 	return !r.closed &&
 		len(r.attempts) < l.maxAttempts &&
 		l.now < r.deadline &&
-		timeout >= 0 && within >= 0
+		timeout >= 0 && writeTimeout >= 0
 }
 
-// attemptDeadlines returns when an attempt ends, and when it must have been written (0: no limit of its own).
-func (l *eventLoop) attemptDeadlines(r *request, timeout, within time.Duration) (deadline, writeBy time.Duration) {
+// attemptDeadlines returns the time at which an attempt ends, and the time by which its request must have
+// been written (0: no separate limit).
+func (l *eventLoop) attemptDeadlines(r *request, timeout, writeTimeout time.Duration) (deadline, writeDeadline time.Duration) {
 	remaining := r.deadline - l.now
 	if timeout == 0 || timeout > remaining {
 		timeout = remaining
 	}
 	deadline = l.now + timeout
-	if within > 0 {
-		writeBy = min(deadline, l.now+within)
+	if writeTimeout > 0 {
+		writeDeadline = min(deadline, l.now+writeTimeout)
 	}
-	return deadline, writeBy
+	return deadline, writeDeadline
 }
 
-// Reject responds 503: the client may retry without harm, as the request has not run or a second run has no effect.
-func (l *eventLoop) Reject(id policy.RequestID, pause time.Duration) {
+// Reject responds with 503: the client may retry safely, as the request has not run or running it again has
+// no effect.
+func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil && !r.closed {
-		l.respond(id, r, &response{status: http.StatusServiceUnavailable, retryAfter: pause})
+		l.respond(id, r, &response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail responds 502, or 504 where time ran out: the request may have run.
+// Fail responds with 502, or with 504 if time ran out: the latest attempt timed out, or one is still in
+// flight. The request may have run.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	r := l.requests[id]
 	if r == nil || r.closed {
@@ -78,7 +83,7 @@
 	l.respond(id, r, &response{status: status})
 }
 
-// Cancel ends an attempt; its Outcome still comes.
+// Cancel abandons an attempt; its Outcome is still reported.
 func (l *eventLoop) Cancel(id policy.RequestID, attempt int) {
 	r := l.requests[id]
 	if r == nil || attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt] == nil {
@@ -87,16 +92,16 @@
 	r.attempts[attempt].cancel()
 }
 
-// SetTimer has the Balancer's TimerFired called after d.
+// SetTimer schedules a call of the Balancer's TimerFired after d.
 func (l *eventLoop) SetTimer(d time.Duration) { l.addTimer(l.now + max(d, 0)) }
 
-// HealthCheck requests a server's load report.
+// HealthCheck requests a server's load report and passes the result to the Balancer.
 func (l *eventLoop) HealthCheck(to policy.EndpointID) {
 	checked := func(ok bool, load policy.LoadReport) {
 		l.post(func(now time.Duration) { l.balancer.HealthChecked(now, to, ok, load) })
 	}
 	e := l.endpoints[to]
-	if e == nil { // no longer listed; from a goroutine, as post from this one could be a deadlock
+	if e == nil { // no longer listed; from a goroutine, as post could deadlock here
 		go checked(false, policy.LoadReport{})
 		return
 	}
@@ -110,20 +115,22 @@
 	}
 }
 
-// Broadcast sends a gossip message to the other sidecars; it may be lost.
+// Broadcast sends a gossip message to the other sidecars. It may be lost.
 func (l *eventLoop) Broadcast(message policy.GossipMessage) { l.peers.send(gossip.Encode(message)) }
 
-// gossipReceived takes a message of another sidecar, on the goroutine of gossipTransport.run. It blocks as post does.
+// gossipReceived passes a message of another sidecar to the Balancer. It is called on the goroutine of
+// gossipTransport.run and blocks as post does.
 func (l *eventLoop) gossipReceived(from int, message policy.GossipMessage) {
 	l.post(func(now time.Duration) { l.balancer.ReceiveGossip(now, from, message) })
 }
 
-// WatchEndpoints asks the discovery client for the endpoint list.
+// WatchEndpoints has the discovery client request the endpoint list.
 func (l *eventLoop) WatchEndpoints() { l.watchEndpoints() }
 
-// Log reports a change in an endpoint's health to the engineers on call.
+// Log logs a change in an endpoint's health for the engineers on call.
 func (l *eventLoop) Log(event policy.HealthEvent) {
-	id := slog.String("endpoint", strconv.FormatUint(uint64(event.Endpoint), 16)) // a hash of discovery's instance id
+	// The id is a hash of the instance id in discovery.
+	id := slog.String("endpoint", strconv.FormatUint(uint64(event.Endpoint), 16))
 	address := slog.String("address", "")
 	if e := l.endpoints[event.Endpoint]; e != nil {
 		address = slog.String("address", e.address)
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -11,9 +11,9 @@
 	"cranehatch/policy"
 )
 
-// Sends past caps.most_tries, past the deadline, with a time that has passed, or to a server that is not listed are
-// not carried out: each ends as not sent.
-func TestNotSent(t *testing.T) {
+// Sends beyond the attempt limit (caps.most_tries), after the request's deadline, with an expired time limit
+// or to a server that is not listed must not be carried out. Each ends as NotSent.
+func TestInvalidSendsEndAsNotSent(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	l.addRequest(7)
@@ -32,11 +32,11 @@
 		{RequestID: 8, Attempt: 1, Result: policy.NotSent}, {RequestID: 8, Attempt: 2, Result: policy.NotSent},
 	}
 	if len(l.deniedSends) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.deniedSends, want)
+		t.Fatalf("deniedSends = %+v, want %+v", l.deniedSends, want)
 	}
 	for i := range want {
 		if l.deniedSends[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.deniedSends[i], want[i])
+			t.Errorf("denied send = %+v, want %+v", l.deniedSends[i], want[i])
 		}
 	}
 	for range 3 {
@@ -48,9 +48,10 @@
 	}
 }
 
-// Servers drop repeats of a keyed request for a while only. A retry whose connection came up after that would run a
-// second time, so it must not be written. Nor is it where the connection is not up by then at all.
-func TestRetryIsNotWrittenTooLate(t *testing.T) {
+// Servers drop duplicates of a request with an idempotency key only for a limited time. A retry that is
+// written later would run a second time, so a retry must not be written if its connection is established
+// after its write timeout (late), nor if the dial is still pending then.
+func TestRetryIsNotWrittenAfterWriteTimeout(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprintf("late %v", late), func(t *testing.T) {
 			s := newStub(t, echo)
@@ -65,19 +66,19 @@
 					return nil, ctx.Err()
 				}
 			}
-			const within = time.Millisecond
+			const writeTimeout = time.Millisecond
 			l.now = l.clock.now()
-			l.Send(7, serverID("s-0"), generous, within)
+			l.Send(7, serverID("s-0"), generous, writeTimeout)
 			if late {
 				wait(t, "the dial", gate.started)
-				for l.clock.now() < l.now+within {
+				for l.clock.now() < l.now+writeTimeout {
 					runtime.Gosched()
 				}
 				gate.admit <- true
 			}
 			l.runNextEvent(t)
 			if len(s.seen) > 0 || r.closed || r.inFlight != 0 {
-				t.Errorf("%d retries written, closed %v, %d attempts in flight", len(s.seen), r.closed, r.inFlight)
+				t.Errorf("retries written = %d, closed = %v, attempts in flight = %d, want 0, false and 0", len(s.seen), r.closed, r.inFlight)
 			}
 		})
 	}
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -21,61 +21,62 @@
 type outageKind string
 
 const (
-	connRefused   outageKind = "refused"
-	status503     outageKind = "503"
-	slowStatus503 outageKind = "503 after 3 s"
-	connReset     outageKind = "reset"
-	noResponse    outageKind = "silent"
-	neverConnects outageKind = "never connects"
-	watchesRemain outageKind = "silent, watches too" // their connections are not reset when the outage begins
+	connRefused     outageKind = "refused"
+	status503       outageKind = "503"
+	slowStatus503   outageKind = "503 after 3 s"
+	connReset       outageKind = "reset"
+	noResponse      outageKind = "silent"
+	neverConnects   outageKind = "never connects"
+	watchesStayOpen outageKind = "silent, watches too" // connections of watches are not reset when the outage begins
 )
 
 const slow503Delay = 3 * time.Second
 
-var outageKinds = []outageKind{connRefused, status503, slowStatus503, connReset, noResponse, neverConnects, watchesRemain}
+var outageKinds = []outageKind{connRefused, status503, slowStatus503, connReset, noResponse, neverConnects, watchesStayOpen}
 
 var errConnRefused = errors.New("connection refused")
 
-// outage is a discovery, on the fake clock, that can't be reached for a while. It returns at the worst moment, right
-// after a call that came too early, and in that moment one of its two servers drains.
+// outage is a stand-in of discovery, on synctest's fake clock, that is unreachable for a while. It recovers
+// at the worst moment: right after a call that came too early and failed. At that moment one of its two
+// servers starts draining.
 type outage struct {
-	kind         outageKind
-	begins       time.Time
-	minLength    time.Duration
-	responseTime time.Duration // of a call that does not wait, after the return
-	draining     string        // the address of the server that drains
-	other        string        // that of the other one
+	kind            outageKind
+	start           time.Time
+	minLength       time.Duration
+	responseTime    time.Duration // for calls that are not watches, after the recovery
+	drainingAddress string        // address of the server that starts draining
+	otherAddress    string        // address of the other server
 
-	mu       sync.Mutex
-	returned time.Time     // zero: not yet
-	back     chan struct{} // closed on the return
-	conns    []net.Conn    // discovery's ends
+	mu          sync.Mutex
+	recoveredAt time.Time     // zero: not recovered yet
+	recovered   chan struct{} // closed on recovery
+	conns       []net.Conn    // discovery's ends of its connections
 }
 
-// callFails tells whether a call that begins now fails. The first after minLength fails too, and is followed by the
-// return.
+// callFails reports whether a call that begins now fails. The first call after minLength is the last one that
+// fails: discovery recovers right after it.
 func (o *outage) callFails() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	if now.Before(o.begins) || !o.returned.IsZero() {
+	if now.Before(o.start) || !o.recoveredAt.IsZero() {
 		return false
 	}
-	if !now.Before(o.begins.Add(o.minLength)) {
-		o.returned = now
-		close(o.back)
+	if !now.Before(o.start.Add(o.minLength)) {
+		o.recoveredAt = now
+		close(o.recovered)
 	}
 	return true
 }
 
-// sinceReturn is how long discovery has been back; below 0: it is not.
-func (o *outage) sinceReturn() time.Duration {
+// sinceRecovery returns the time since discovery recovered, or a negative value if it has not.
+func (o *outage) sinceRecovery() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.returned.IsZero() {
+	if o.recoveredAt.IsZero() {
 		return -1
 	}
-	return time.Since(o.returned)
+	return time.Since(o.recoveredAt)
 }
 
 // dial connects a client to discovery.
@@ -84,7 +85,7 @@
 	case o.kind == connRefused && o.callFails():
 		return nil, errConnRefused
 	case o.kind == neverConnects && o.callFails():
-		<-ctx.Done() // also after the return
+		<-ctx.Done() // does not connect after the recovery either
 		return nil, ctx.Err()
 	}
 	clientEnd, serverEnd := net.Pipe()
@@ -95,9 +96,9 @@
 	return clientEnd, nil
 }
 
-// resetWatches closes the open connections, as the outage begins.
+// resetWatches closes the open connections when the outage begins.
 func (o *outage) resetWatches() {
-	if o.kind != watchesRemain {
+	if o.kind != watchesStayOpen {
 		o.closeAll()
 	}
 }
@@ -110,7 +111,6 @@
 	}
 }
 
-// serve serves one connection.
 func (o *outage) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -121,24 +121,24 @@
 		}
 		began := time.Now()
 		if o.callFails() {
-			if !o.fail(c, r) {
+			if !o.failCall(c, r) {
 				return
 			}
 			continue
 		}
 		o.waitToRespond(req)
-		if began.Before(o.begins) && !time.Now().Before(o.begins) {
-			discardAll(r) // a watch over which the outage began: it is never answered
+		if began.Before(o.start) && !time.Now().Before(o.start) {
+			readUntilClosed(r) // a watch that was open when the outage began is never answered
 			return
 		}
-		if !ok(c, o.list()) {
+		if !ok(c, o.endpointList()) {
 			return
 		}
 	}
 }
 
-// fail has a call fail on its connection, and tells whether that can be used again.
-func (o *outage) fail(c net.Conn, r *bufio.Reader) bool {
+// failCall fails a call on its connection, and reports whether the connection can be used again.
+func (o *outage) failCall(c net.Conn, r *bufio.Reader) bool {
 	switch o.kind {
 	case slowStatus503:
 		time.Sleep(slow503Delay)
@@ -147,8 +147,8 @@
 		return respond503(c)
 	case connReset:
 		return false
-	default: // no response, also after the return
-		discardAll(r)
+	default: // no response, not even after the recovery
+		readUntilClosed(r)
 		return false
 	}
 }
@@ -158,48 +158,48 @@
 	return err == nil
 }
 
-// discardAll reads until the client closes the connection.
-func discardAll(r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) }
+// readUntilClosed reads and discards until the client closes the connection.
+func readUntilClosed(r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-// waitToRespond waits for as long as discovery needs for a call: for a change, or for the end of the query's wait. A
-// call that does not wait is in a queue with others after the return.
+// waitToRespond waits for as long as discovery takes to answer a call. A watch is answered on a change or
+// when its wait has passed. After the recovery, other calls wait in a queue for responseTime.
 func (o *outage) waitToRespond(req *http.Request) {
 	watchWait, _ := strconv.Atoi(req.FormValue("wait"))
 	switch {
 	case watchWait > 1 && req.FormValue("index") == "41":
 		select {
-		case <-o.back: // the drain is a change
+		case <-o.recovered: // the drain is a change
 		case <-time.After(time.Duration(watchWait) * time.Millisecond):
 		}
 	case watchWait > 1:
 		time.Sleep(time.Duration(watchWait) * time.Millisecond)
-	case o.sinceReturn() >= 0:
+	case o.sinceRecovery() >= 0:
 		time.Sleep(o.responseTime)
 	}
 }
 
-// list is the current endpoint list as a response: version 42 has the drain.
-func (o *outage) list() string {
+// endpointList returns the current endpoint list as a response body. Version 42 includes the drain.
+func (o *outage) endpointList() string {
 	lifecycle, version := "ready", 41
-	if o.sinceReturn() >= 0 {
+	if o.sinceRecovery() >= 0 {
 		lifecycle, version = "draining", 42
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-0","hostPort":%q,"lifecycle":%q},{"instanceId":"s-1","hostPort":%q,"lifecycle":"ready"}]}`,
-		version, o.draining, lifecycle, o.other)
+		version, o.drainingAddress, lifecycle, o.otherAddress)
 }
 
-// attemptCounts are the attempts at each server that began when the drain counted as notified.
+// attemptCounts counts the attempts at each server from the time on at which the drain counts as notified.
 type attemptCounts struct {
 	outage        *outage
-	notifiedAfter time.Duration // from the return
+	notifiedAfter time.Duration // from the recovery until the drain counts as notified
 
 	mu       sync.Mutex
 	draining int
 	other    int
 }
 
-// dialServer connects a sidecar to a server, which counts the attempt and answers it.
+// dialServer connects a sidecar to a server that counts the attempt and answers it.
 func (a *attemptCounts) dialServer(_ context.Context, _, address string) (net.Conn, error) {
 	clientEnd, serverEnd := net.Pipe()
 	go func() {
@@ -216,22 +216,23 @@
 func (a *attemptCounts) count(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.outage.sinceReturn() <= a.notifiedAfter {
+	if a.outage.sinceRecovery() <= a.notifiedAfter {
 		return
 	}
 	switch address {
-	case a.outage.draining:
+	case a.outage.drainingAddress:
 		a.draining++
-	case a.outage.other:
+	case a.outage.otherAddress:
 		a.other++
 	}
 }
 
-// Discovery can't be reached for a while, and when it returns a server drains. A sidecar whose call still hangs, or
-// that pauses for too long, would go on sending there. Whichever way calls fail, the drain counts as notified 6 s
-// after the return: no attempt may begin there after that. Backoff, call and a response time of 2 s are within it,
-// which is what discovery needs when many sidecars return at once.
-func TestChangeIsKnownInTimeAfterAnOutage(t *testing.T) {
+// Discovery is unreachable for a while, and a server starts draining when it recovers. A sidecar whose call
+// to discovery still hangs, or that backs off for too long, would go on sending to that server. The drain
+// counts as notified 6 s after the recovery, however calls fail during the outage, and no attempt may begin
+// at that server after that. The 6 s include the backoff, the call and a response time of 2 s, which
+// discovery needs when many sidecars reconnect at once.
+func TestDrainIsNotifiedInTimeAfterOutage(t *testing.T) {
 	for _, mode := range []string{"ask", "push"} {
 		for _, kind := range outageKinds {
 			for _, seconds := range []int{1, 2, 3, 5, 8, 9, 13, 21, 40} {
@@ -239,7 +240,7 @@
 					synctest.Test(t, func(t *testing.T) {
 						counts := runThroughOutage(t, mode, kind, time.Duration(seconds)*time.Second)
 						if counts.draining > 0 || counts.other == 0 {
-							t.Errorf("%d attempts at the draining server after the drain counts as notified; %d at the other",
+							t.Errorf("attempts once the drain counts as notified = %d at the draining server, %d at the other, want none and some",
 								counts.draining, counts.other)
 						}
 					})
@@ -254,63 +255,64 @@
 	t.Helper()
 	const (
 		notifiedAfter   = 6 * time.Second
-		countedFor      = 4 * time.Second // then the run ends
+		countedFor      = 4 * time.Second // how long attempts are counted before the run ends
 		requestInterval = 50 * time.Millisecond
 	)
 	o := newOutage(kind, length)
 	counts := &attemptCounts{outage: o, notifiedAfter: notifiedAfter}
 	cfg := outageConfig(t, mode, o)
-	l, d := connectOutage(t, cfg, counts)
+	l, d := newSidecarInOutage(t, cfg, counts)
 	ctx, cancel := context.WithCancel(t.Context())
-	var parts sync.WaitGroup
-	parts.Go(func() { l.run(ctx, cfg.CachedEndpoints) })
-	parts.Go(func() { d.run(ctx) })
-	time.AfterFunc(time.Until(o.begins), o.resetWatches)
-	for o.sinceReturn() < notifiedAfter+countedFor { // it returns, as calls go on being made
+	var running sync.WaitGroup
+	running.Go(func() { l.run(ctx, cfg.CachedEndpoints) })
+	running.Go(func() { d.run(ctx) })
+	time.AfterFunc(time.Until(o.start), o.resetWatches)
+	for o.sinceRecovery() < notifiedAfter+countedFor { // discovery recovers, as the sidecar goes on calling it
 		time.Sleep(requestInterval)
 		reply := make(chan response, 1)
 		l.submit(policy.Request{Class: cfg.Classes["look"]}, newTestOutboundRequest("1"), l.clock.now()+generous, reply)
 		<-reply
 	}
 	cancel()
-	parts.Wait()
+	running.Wait()
 	d.closeIdle()
 	o.closeAll()
-	time.Sleep(maxWatchTime) // until discovery's goroutines have noticed
+	time.Sleep(maxWatchTime) // lets discovery's goroutines notice the closed connections and end
 	return counts
 }
 
 func newOutage(kind outageKind, minLength time.Duration) *outage {
 	return &outage{
-		kind:         kind,
-		begins:       time.Now().Add(1500 * time.Millisecond),
-		minLength:    minLength,
-		responseTime: 2 * time.Second,
-		draining:     "127.0.0.1:81",
-		other:        "127.0.0.1:82",
-		back:         make(chan struct{}),
+		kind:            kind,
+		start:           time.Now().Add(1500 * time.Millisecond),
+		minLength:       minLength,
+		responseTime:    2 * time.Second,
+		drainingAddress: "127.0.0.1:81",
+		otherAddress:    "127.0.0.1:82",
+		recovered:       make(chan struct{}),
 	}
 }
 
-// outageConfig is the configuration of a sidecar that was started before the outage.
+// outageConfig returns the configuration of a sidecar that starts before the outage.
 func outageConfig(t *testing.T, mode string, o *outage) *Config {
 	t.Helper()
-	cfg := testConfig(t, listed(41, "ready", o.draining, o.other), func(_, settings map[string]any) {
+	cfg := testConfig(t, listed(41, "ready", o.drainingAddress, o.otherAddress), func(_, settings map[string]any) {
 		settings["discovery"] = mode
 		settings["rules"].(map[string]any)["stop_sending_within_ms"] = 1000.0
 		settings["rules"].(map[string]any)["ask_within_ms"] = 10000.0
 	})
-	cfg.Seed = uint64(o.minLength) // other random pauses for each
+	cfg.Seed = uint64(o.minLength) // a different seed for each length of outage
 	return cfg
 }
 
-// connectOutage makes a loop and a discovery client whose connections lead to the model of the outage.
-func connectOutage(t *testing.T, cfg *Config, counts *attemptCounts) (*eventLoop, *discoveryClient) {
+// newSidecarInOutage returns a loop and a discovery client that are connected to the outage's discovery and
+// servers.
+func newSidecarInOutage(t *testing.T, cfg *Config, counts *attemptCounts) (*eventLoop, *discoveryClient) {
 	t.Helper()
-	c := newClock()
-	servers := newTransport(cfg, c)
+	clk := newClock()
+	servers := newTransport(cfg, clk)
 	servers.dial = counts.dialServer
-	l, err := newEventLoop(cfg, c, servers)
+	l, err := newEventLoop(cfg, clk, servers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/outbound.go
+++ b/internal/sidecar/outbound.go
@@ -10,8 +10,8 @@
 // headSizeEstimate is the capacity, in bytes, that encode reserves for the request line and the headers.
 const headSizeEstimate = 512
 
-// outboundRequest is a request as it is sent to servers, but for its timeout. All attempts of a request share
-// it, so it is not changed once it is made.
+// outboundRequest is a request as it is sent to servers, except for the timeout. All attempts of a request
+// share it, so it is immutable.
 type outboundRequest struct {
 	method       string
 	uri          string // as the client sent it
@@ -21,7 +21,7 @@
 	clientClosed func() bool // reports whether the client has closed its connection; nil: there is no client
 }
 
-// newOutboundRequest returns what is forwarded of a client's request, whose body has been read.
+// newOutboundRequest returns the request to forward for a client's request, whose body has been read.
 func newOutboundRequest(r *http.Request, body []byte, clientClosed func() bool) *outboundRequest {
 	return &outboundRequest{
 		method:       r.Method,
@@ -33,14 +33,14 @@
 	}
 }
 
-// clientGone reports whether nobody waits for the response any more.
-func (r *outboundRequest) clientGone() bool { return r.clientClosed != nil && r.clientClosed() }
+// clientDisconnected reports whether the client has disconnected, so that no response is needed any more.
+func (r *outboundRequest) clientDisconnected() bool { return r.clientClosed != nil && r.clientClosed() }
 
-// encode returns the request as it is written. Requests of clients carry the time that remains for the
-// response in place of the client's own timeout; health checks, which have no id, carry none.
+// encode returns the request in wire format. A client's request carries the time remaining for the response
+// in place of the client's own timeout; health checks, which have no request id, carry no timeout.
 //
-// The method, target and headers need no check for line breaks, which would end the head early: net/http has
-// parsed them and accepts none.
+// The method, target and headers need no check for line breaks, which could end the header early: net/http
+// has parsed them and accepts none.
 func (r *outboundRequest) encode(remaining time.Duration) []byte {
 	var buf bytes.Buffer
 	buf.Grow(headSizeEstimate + len(r.body))
@@ -69,7 +69,7 @@
 	buf.WriteString(name + ": " + value + "\r\n")
 }
 
-// formatTimeout is the value of X-Timeout: whole milliseconds, at least one.
+// formatTimeout formats the value of X-Timeout: whole milliseconds, at least 1.
 func formatTimeout(timeout time.Duration) string {
 	return strconv.FormatInt(max(1, timeout.Milliseconds()), 10) + "m"
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -9,37 +9,40 @@
 )
 
 const (
+	// idleTimeoutMargin limits how long before the server's idle timeout a connection expires.
 	idleTimeoutMargin = time.Second
-	minConnIdle       = 10 * time.Millisecond // see acquire
+	// minConnIdle is how long a connection must have been idle before it is reused: see acquire.
+	minConnIdle = 10 * time.Millisecond
 )
 
-// endpoint is a server at an address. A server that appears at the address of a removed one is another
-// endpoint: it inherits no connection, as those lead to the old server.
+// endpoint is a server at an address. A server that appears at the address of a removed one is a new endpoint
+// and inherits no connections, as those lead to the old server.
 type endpoint struct {
 	address string
-	removed bool // no longer listed: connections to it are not pooled; under the pool's lock
+	removed bool // no longer listed, so connections to it are not pooled; guarded by the pool's lock
 }
 
-// connPool holds the idle connections to servers and limits how many connections are open in all. Its methods
-// may be called by any goroutine. Those whose names end in Locked need the lock to be held.
+// connPool holds the idle connections to servers and limits the total number of open connections. Its methods
+// are safe for concurrent use, except that those whose names end in Locked require mu to be held.
 type connPool struct {
 	clock       clock
-	idleTimeout time.Duration // connections idle for longer are not used again
-	minIdle     time.Duration // connections are not used again before this
-	maxConns    int           // connections open at once
+	idleTimeout time.Duration // connections that were idle for this long are not reused
+	minIdle     time.Duration // connections that were idle for less are not reused yet
+	maxConns    int           // limit on open connections
 
-	mu      sync.Mutex
-	idle    map[*endpoint][]*conn // the most recently used last
-	open    int                   // idle, in use or being dialled
-	sweeper *time.Timer           // runs closeExpired; nil while there is nothing to expire
-	dialed  int                   // connections dialled since the start
-	stale   int                   // idle connections since the start that had been closed, or held unrequested bytes
+	mu         sync.Mutex
+	idle       map[*endpoint][]*conn // most recently used last
+	openConns  int                   // connections that are idle, in use or being dialed
+	sweeper    *time.Timer           // runs closeExpired; nil: not scheduled
+	dialed     int                   // connections dialed since the start
+	staleConns int                   // idle connections found closed or with unrequested bytes since the start
 }
 
-func newConnPool(cfg *Config, c clock) *connPool {
+func newConnPool(cfg *Config, clk clock) *connPool {
 	return &connPool{
-		clock: c,
-		// Well before the server closes the connection: a request that crosses the close ends in a reset.
+		clock: clk,
+		// Well before the server closes the connection: a request that is sent as the server closes it ends
+		// in a reset.
 		idleTimeout: cfg.ServerIdleTimeout - min(idleTimeoutMargin, cfg.ServerIdleTimeout/4),
 		minIdle:     minConnIdle,
 		maxConns:    cfg.maxServerConns(),
@@ -47,15 +50,16 @@
 	}
 }
 
-// acquire returns the connection to a server that has been idle for longest. If there is none it returns nil,
-// with one more counted as open: the caller must dial it, or call unreserve. At the limit it closes an idle
-// connection to another server, and returns errConnLimit where there is none.
+// acquire returns the connection to a server that has been idle longest. If none may be reused, it reserves a
+// new one, counts it as open and returns nil: the caller must dial it or call unreserve. At the limit on open
+// connections it first closes the longest idle connection to any server, and returns errConnLimit if none is
+// idle.
 //
-// Two failures are the reason for taking the longest idle one, and none that was idle for less than minIdle:
-// a server may send more than belongs to a response, even a second copy of it, and nothing in those bytes
-// says which request they answer. On a connection that is used again at once they would be read as the next
-// response. And a server may close the connection right after a response: a request that crosses the close
-// may or may not have run. What has arrived while the connection was idle is found by connAlive.
+// Taking the longest idle connection, and none that was idle for less than minIdle, prevents two failures. A
+// server may send bytes after a response, even a second copy of it, and nothing in them identifies the
+// request that they answer: on a connection that is reused immediately they would be read as the next
+// response. A server may also close the connection right after a response: a request sent at that moment may
+// or may not have run. connAlive detects both, if the bytes or the close arrive while the connection is idle.
 func (p *connPool) acquire(to *endpoint) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +69,8 @@
 	return nil, p.reserveLocked()
 }
 
-// popIdleLocked takes out the connection that has been idle for longest, and closes expired ones on the way.
+// popIdleLocked removes and returns the connection to a server that has been idle longest, or returns nil if
+// none may be reused. It closes the expired connections that it finds.
 func (p *connPool) popIdleLocked(to *endpoint) *conn {
 	now := p.clock.now()
 	for {
@@ -82,21 +87,23 @@
 	}
 }
 
-// reserveLocked counts a connection that is about to be dialled.
+// reserveLocked counts a connection that is about to be dialed, after closing an idle one if the limit is
+// reached.
 func (p *connPool) reserveLocked() error {
-	if p.open >= p.maxConns {
+	if p.openConns >= p.maxConns {
 		oldest := p.oldestIdleLocked()
 		if oldest == nil {
 			return errConnLimit
 		}
 		p.closeOldestLocked(oldest, 1)
 	}
-	p.open++
+	p.openConns++
 	p.dialed++
 	return nil
 }
 
-// oldestIdleLocked returns the server with the connection that has been idle for longest, nil if none is idle.
+// oldestIdleLocked returns the server with the connection that has been idle longest, or nil if no connection
+// is idle.
 func (p *connPool) oldestIdleLocked() *endpoint {
 	var oldest *endpoint
 	since := time.Duration(math.MaxInt64)
@@ -108,21 +115,21 @@
 	return oldest
 }
 
-// unreserve takes back the count of a connection that acquire reserved and that was not opened.
+// unreserve stops counting a connection as open. Callers of acquire use it when their dial has failed.
 func (p *connPool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConns--
 }
 
 // putIdle returns a connection to the pool, or closes it if its server was removed while it was in use.
 func (p *connPool) putIdle(to *endpoint, c *conn) {
-	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, which connAlive finds
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, which connAlive detects
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if to.removed {
 		c.Conn.Close()
-		p.open--
+		p.openConns--
 		return
 	}
 	c.idleSince = p.clock.now()
@@ -132,28 +139,28 @@
 	}
 }
 
-// discard closes a connection that was acquired.
+// discard closes a connection that was acquired or dialed.
 func (p *connPool) discard(c *conn) {
 	c.Conn.Close()
 	p.unreserve()
 }
 
-// discardStale closes a connection that was acquired and turned out not to be alive.
+// discardStale closes an acquired connection that is not alive, and counts it as stale.
 func (p *connPool) discardStale(c *conn) {
 	p.mu.Lock()
-	p.stale++
+	p.staleConns++
 	p.mu.Unlock()
 	p.discard(c)
 }
 
-// closeOldestLocked closes the n connections to a server that have been idle for longest.
+// closeOldestLocked closes the n connections to a server that have been idle longest.
 func (p *connPool) closeOldestLocked(to *endpoint, n int) {
 	conns := p.idle[to]
 	for _, c := range conns[:n] {
 		c.Conn.Close()
 	}
-	p.open -= n
-	rest := slices.Delete(conns, 0, n) // clears the slots behind, so that closed connections can be freed
+	p.openConns -= n
+	rest := slices.Delete(conns, 0, n) // zeroes the vacated elements, so that closed connections can be freed
 	if len(rest) == 0 {
 		delete(p.idle, to)
 		return
@@ -161,25 +168,25 @@
 	p.idle[to] = rest
 }
 
-// closeIdleBefore closes the connections to a server that have been idle since before a moment. It is called
-// when an attempt that began at that moment has timed out.
+// closeIdleBefore closes the connections to a server that have been idle since before cutoff. It is called
+// when an attempt that was written at cutoff has timed out.
 //
-// A machine that is cut off from the network is silent on all connections, and what is written on them may
-// have run. A new connection shows at once whether the machine can be reached. A server that is merely slow
-// keeps the connections on which it has responded since.
-func (p *connPool) closeIdleBefore(to *endpoint, moment time.Duration) {
+// A machine that is cut off from the network responds on no connection, and requests written on them may have
+// run. Dialing a new connection shows at once whether the machine can be reached. A server that is merely
+// slow keeps the connections on which it has responded since cutoff.
+func (p *connPool) closeIdleBefore(to *endpoint, cutoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[to]
 	n := 0
-	for n < len(conns) && conns[n].idleSince < moment {
+	for n < len(conns) && conns[n].idleSince < cutoff {
 		n++
 	}
 	p.closeOldestLocked(to, n)
 }
 
-// closeExpired closes the connections that have been idle for too long, and has the sweeper run again when the
-// next one expires.
+// closeExpired closes the connections that have been idle for idleTimeout, and schedules the next sweep for
+// when the next one expires.
 func (p *connPool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,8 +214,8 @@
 	p.closeOldestLocked(to, len(p.idle[to]))
 }
 
-// remove is called when a server is no longer listed. Connections to it are closed, those in use when their
-// exchange is over.
+// remove is called when a server is no longer listed. It closes the idle connections to the server; those in
+// use are closed when their exchange ends.
 func (p *connPool) remove(to *endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,8 +228,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slog.GroupValue(
-		slog.Int("open_connections", p.open),
+		slog.Int("open_connections", p.openConns),
 		slog.Int("dialed_connections", p.dialed),
-		slog.Int("stale_connections", p.stale),
+		slog.Int("stale_connections", p.staleConns),
 	)
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -9,7 +9,7 @@
 	"cranehatch/policy"
 )
 
-// expireFirstIdle makes the first idle connection to a server as old as idle connections may get.
+// expireFirstIdle lets the first idle connection to a server reach its idle timeout.
 func expireFirstIdle(t *testing.T, tr *transport, to *endpoint) {
 	t.Helper()
 	tr.mu.Lock()
@@ -17,10 +17,10 @@
 	tr.idle[to][0].idleSince -= tr.idleTimeout
 }
 
-func expectDialed(t *testing.T, tr *transport, want int) {
+func expectDialedConns(t *testing.T, tr *transport, want int) {
 	t.Helper()
 	if tr.dialed != want {
-		t.Errorf("%d connections dialled, want %d", tr.dialed, want)
+		t.Errorf("dialed connections = %d, want %d", tr.dialed, want)
 	}
 }
 
@@ -28,13 +28,13 @@
 	s := newStub(t, echo)
 	tr := newTestTransport(t)
 	for i := range 5 {
-		attempt(t, tr, s.host, fmt.Sprint(i), generous)
+		attempt(t, tr, s.endpoint, fmt.Sprint(i), generous)
 	}
-	expectDialed(t, tr, 1)
+	expectDialedConns(t, tr, 1)
 }
 
-// A server closes a connection while it is idle: at its idle timeout, when it drains or restarts. That is
-// found before a request is written on it.
+// Servers close idle connections at their idle timeout, when they drain and when they restart. The transport
+// must detect that before it writes a request on such a connection.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	closeNow, closed := make(chan struct{}), make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -47,43 +47,44 @@
 		return answered && r.conn > 0
 	})
 	tr := newTestTransport(t)
-	attempt(t, tr, s.host, "1", generous)
+	attempt(t, tr, s.endpoint, "1", generous)
 	close(closeNow)
 	wait(t, "the server to close", closed)
-	for end := time.Now().Add(generous); connAlive(tr.idle[s.host][0].Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(generous); connAlive(tr.idle[s.endpoint][0].Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the close has crossed the loopback long before
-			t.Fatal("the closed connection passes for alive")
+			t.Fatal("connAlive = true for a connection that the server has closed, want false")
 		}
 	}
-	if got := attempt(t, tr, s.host, "2", generous); got.result != policy.Succeeded {
-		t.Fatalf("outcome %v, want %v", got.result, policy.Succeeded)
+	if got := attempt(t, tr, s.endpoint, "2", generous); got.result != policy.Succeeded {
+		t.Fatalf("result = %v, want %v", got.result, policy.Succeeded)
 	}
-	if tr.stale != 1 {
-		t.Errorf("%d stale connections counted, want 1", tr.stale)
+	if tr.staleConns != 1 {
+		t.Errorf("stale connections = %d, want 1", tr.staleConns)
 	}
-	expectDialed(t, tr, 2)
-	expectOpen(t, tr, 1)
+	expectDialedConns(t, tr, 2)
+	expectOpenConns(t, tr, 1)
 }
 
-// A connection that has been idle for nearly as long as its server allows may be closed under the next
-// request. It is closed by the sweeper, and not used where the sweeper has not run yet.
+// A server may close a connection that has been idle for nearly its idle timeout while the next request is
+// being sent. The sweeper must close such a connection, and acquire must not return it if the sweeper has not
+// run yet.
 func TestExpiredConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	tr := newTestTransport(t)
-	attempt(t, tr, s.host, "1", generous)
-	expireFirstIdle(t, tr, s.host)
+	attempt(t, tr, s.endpoint, "1", generous)
+	expireFirstIdle(t, tr, s.endpoint)
 	tr.closeExpired()
 	wait(t, "the expired connection to close", s.closed)
 
-	attempt(t, tr, s.host, "2", generous)
-	expireFirstIdle(t, tr, s.host)
-	attempt(t, tr, s.host, "3", generous)
-	expectDialed(t, tr, 3)
-	expectOpen(t, tr, 1)
+	attempt(t, tr, s.endpoint, "2", generous)
+	expireFirstIdle(t, tr, s.endpoint)
+	attempt(t, tr, s.endpoint, "3", generous)
+	expectDialedConns(t, tr, 3)
+	expectOpenConns(t, tr, 1)
 }
 
-// A server closes a connection right after a response, and the close crosses a request that is sent soon
-// after. So the connection that has been idle for longest is used first.
+// A server may close a connection right after a response, and the close may cross a request that is sent soon
+// after. The connection that has been idle longest must therefore be used first.
 func TestOldestIdleConnectionIsUsedFirst(t *testing.T) {
 	bothArrived := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -93,9 +94,9 @@
 		return echo(c, r)
 	})
 	tr := newTestTransport(t)
-	_, first := startAttempt(t, tr, s.host, "1")
+	_, first := startAttempt(t, tr, s.endpoint, "1")
 	wait(t, "request 1", s.seen)
-	_, second := startAttempt(t, tr, s.host, "2") // while the first is in flight: on a second connection
+	_, second := startAttempt(t, tr, s.endpoint, "2") // the first is in flight, so this needs a second connection
 	wait(t, "request 2", s.seen)
 	close(bothArrived)
 	wait(t, "the first result", first)
@@ -103,17 +104,17 @@
 
 	used := make(map[int]bool)
 	for _, id := range []string{"3", "4"} { // one after the other
-		attempt(t, tr, s.host, id, generous)
+		attempt(t, tr, s.endpoint, id, generous)
 		used[wait(t, "request "+id, s.seen).conn] = true
 	}
 	if len(used) != 2 {
-		t.Error("the connection just used was used once more, while the other was idle for longer")
+		t.Error("both requests used the same connection, want the one that was idle longest each time")
 	}
 }
 
-// A server sends a second copy of a response, which arrives once the connection is in use again: it would be
-// read as the next request's response. So a connection stays idle for a while first, and what has arrived by
-// then is found.
+// A server sends a second copy of a response, which arrives when the connection is in use again and would be
+// read as the next request's response. A connection must therefore stay idle for a minimum time, so that
+// bytes which arrive by then are detected.
 func TestDuplicateResponseIsNotTheNextResponse(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		if id := r.Header.Get("X-Request-ID"); r.conn == 0 && id != "1" {
@@ -123,52 +124,53 @@
 	})
 	tr := newTestTransport(t)
 	tr.minIdle = generous
-	attempt(t, tr, s.host, "1", generous)
-	if got := attempt(t, tr, s.host, "2", generous); string(got.body) != "done 2" {
-		t.Errorf("outcome %v, body %q, want the response to request 2", got.result, got.body)
+	attempt(t, tr, s.endpoint, "1", generous)
+	if got := attempt(t, tr, s.endpoint, "2", generous); string(got.body) != "done 2" {
+		t.Errorf("result = %v, body = %q, want the response to request 2", got.result, got.body)
 	}
 }
 
-// The limit on connections is reached. An idle connection to another server is closed for a new one; where
-// none is idle nothing is sent, and the outcome says nothing about the server.
+// At the limit on connections, an idle connection to another server must be closed for a new one. If none is
+// idle, nothing must be sent, with a result that is no evidence about the server.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
 	a, b, unresponsive := newStub(t, echo), newStub(t, echo), newStub(t, silent)
 	tr := newTestTransport(t)
 	tr.maxConns = 1
-	attempt(t, tr, a.host, "1", generous)
-	expectOutcome(t, attempt(t, tr, b.host, "2", generous), policy.Succeeded)
-	expectOpen(t, tr, 1)
+	attempt(t, tr, a.endpoint, "1", generous)
+	expectResult(t, attempt(t, tr, b.endpoint, "2", generous), policy.Succeeded)
+	expectOpenConns(t, tr, 1)
 
-	x, done := startAttempt(t, tr, unresponsive.host, "3")
+	x, done := startAttempt(t, tr, unresponsive.endpoint, "3")
 	wait(t, "request 3", unresponsive.seen)
-	expectOutcome(t, attempt(t, tr, a.host, "4", generous), policy.NotSent)
+	expectResult(t, attempt(t, tr, a.endpoint, "4", generous), policy.NotSent)
 	x.cancel()
 	wait(t, "the cancelled attempt", done)
 }
 
-// A machine that lets an attempt time out may be cut off from the network: requests on its other idle
-// connections would get no response either, and could have run. So those are closed, and a new connection
-// shows whether the machine can be reached. An attempt with less time than a dial may take shows nothing.
+// A machine on which an attempt times out may be cut off from the network. Requests on its other idle
+// connections would get no response either and would count as possibly run, so those connections must be
+// closed: a new one shows whether the machine can be reached. A timeout shorter than the dial timeout is no
+// such evidence.
 func TestTimeoutClosesOlderIdleConnections(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		id := r.Header.Get("X-Request-ID")
 		return id == "brief" || id == "silent" || echo(c, r)
 	})
 	tr := newTestTransport(t)
-	attempt(t, tr, s.host, "1", generous)
-	tr.minIdle = generous // so that the next attempts dial
-	attempt(t, tr, s.host, "brief", 100*time.Millisecond)
-	if len(tr.idle[s.host]) != 1 {
-		t.Fatal("a timeout shorter than the dial timeout closed the idle connection")
+	attempt(t, tr, s.endpoint, "1", generous)
+	tr.minIdle = generous // forces the next attempts to dial
+	attempt(t, tr, s.endpoint, "brief", 100*time.Millisecond)
+	if len(tr.idle[s.endpoint]) != 1 {
+		t.Fatal("idle connection was closed by a timeout shorter than the dial timeout")
 	}
 	tr.dialTimeout = time.Second / 2
-	attempt(t, tr, s.host, "silent", time.Second)
+	attempt(t, tr, s.endpoint, "silent", time.Second)
 	wait(t, "a connection to close", s.closed)
-	expectOpen(t, tr, 0)
+	expectOpenConns(t, tr, 0)
 }
 
-// A server is removed while a connection to it is in use. The connection is not pooled: the address may
-// belong to another server by the time of the next request.
+// A server is removed while a connection to it is in use. The connection must not be pooled, as the address
+// may belong to another server by the time of the next request.
 func TestConnectionOfARemovedServerIsNotPooled(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -176,13 +178,13 @@
 		return echo(c, r)
 	})
 	tr := newTestTransport(t)
-	_, done := startAttempt(t, tr, s.host, "1")
+	_, done := startAttempt(t, tr, s.endpoint, "1")
 	wait(t, "the request", s.seen)
-	tr.remove(s.host)
+	tr.remove(s.endpoint)
 	close(release)
-	expectOutcome(t, wait(t, "the result", done), policy.Succeeded)
-	expectOpen(t, tr, 0)
+	expectResult(t, wait(t, "the result", done), policy.Succeeded)
+	expectOpenConns(t, tr, 0)
 	if len(tr.idle) != 0 {
-		t.Errorf("idle connections to %d servers, want none", len(tr.idle))
+		t.Errorf("servers with idle connections = %d, want none", len(tr.idle))
 	}
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -7,51 +7,52 @@
 	"cranehatch/policy"
 )
 
-// request is an entry of the request table. It stays until the request has its response (or its client has
-// disconnected) and all its attempts have ended.
+// request is an entry of the request table. It is deleted once the request is closed and all its attempts
+// have ended.
 type request struct {
 	outbound         *outboundRequest
 	reply            chan<- response
 	deadline         time.Duration
-	attempts         []*exchange // by attempt number; nil: was not sent
-	inFlight         int         // attempts with no Outcome yet
+	attempts         []*exchange // by attempt number; nil: not sent
+	inFlight         int         // attempts whose Outcome has not been reported yet
 	closed           bool        // it has its response, or its client has disconnected
-	deadlineExceeded bool        // its latest attempt ended so: makes the status of a failure 504
+	deadlineExceeded bool        // the attempt that ended last timed out; Fail then responds with 504
 }
 
-// response is the one response that a request's client gets.
+// response is the final response to a client's request.
 type response struct {
 	status     int
 	header     http.Header
 	body       []byte
-	retryAfter time.Duration // with 503: when the client may retry
+	retryAfter time.Duration // with status 503: when the client should retry; 0: not stated
 }
 
-// submit enters a request. The ingress calls it on the goroutine of the client's connection; it blocks as post does.
-// The response goes to reply, which must have capacity for it, as the loop must not block. The returned id names
-// the request for clientGone.
-func (l *eventLoop) submit(q policy.Request, m *outboundRequest, deadline time.Duration, reply chan<- response) policy.RequestID {
-	q.ID = policy.RequestID(l.lastID.Add(1))
+// submit registers a request and returns its id, which clientDisconnected takes. The ingress calls it on the
+// goroutine of the client's connection; it blocks as post does. The response is sent to reply, which must be
+// buffered, as the loop must not block.
+func (l *eventLoop) submit(req policy.Request, outbound *outboundRequest, deadline time.Duration, reply chan<- response) policy.RequestID {
+	req.ID = policy.RequestID(l.lastID.Add(1))
 	l.post(func(now time.Duration) {
-		q.Timeout = deadline - now
-		l.requests[q.ID] = &request{outbound: m, deadline: deadline, reply: reply}
-		l.balancer.Request(now, q)
+		req.Timeout = deadline - now
+		l.requests[req.ID] = &request{outbound: outbound, deadline: deadline, reply: reply}
+		l.balancer.Request(now, req)
 	})
-	return q.ID
+	return req.ID
 }
 
-// clientGone is called when the client of a request has closed its connection. The ingress calls it on the goroutine of
-// that connection; it blocks as post does.
+// clientDisconnected registers that the client of a request has closed its connection. The ingress calls it
+// on the goroutine of that connection; it blocks as post does.
 func (l *eventLoop) clientGone(id policy.RequestID) {
 	l.post(func(now time.Duration) {
 		if r := l.requests[id]; r != nil {
-			l.closeForGoneClient(now, id, r)
+			l.closeDisconnected(now, id, r)
 		}
 	})
 }
 
-// closeForGoneClient ends a request whose client has disconnected, once.
-func (l *eventLoop) closeForGoneClient(now time.Duration, id policy.RequestID, r *request) {
+// closeDisconnected closes a request whose client has disconnected and notifies the Balancer, unless the
+// request is closed already.
+func (l *eventLoop) closeDisconnected(now time.Duration, id policy.RequestID, r *request) {
 	if r.closed {
 		return
 	}
@@ -59,9 +60,9 @@
 	l.balancer.ClientDisconnected(now, id)
 }
 
-// respond closes a request with its response, or with none (nil) where the client has disconnected. Attempts of which
-// nothing is written yet end unwritten. Those under way go on: whether they are cancelled is for the Balancer, as
-// the settings may forbid it.
+// respond closes a request and sends its final response, or none (nil) if the client has disconnected.
+// Attempts whose request has not been written yet are abandoned. The others go on: only the Balancer cancels
+// them, as the configuration may forbid that.
 func (l *eventLoop) respond(id policy.RequestID, r *request, final *response) {
 	r.closed = true
 	for _, x := range r.attempts {
@@ -77,22 +78,25 @@
 	}
 }
 
-// attemptEnded takes the result of an attempt, on the loop's goroutine. The first that succeeded is the response.
-func (l *eventLoop) attemptEnded(id policy.RequestID, number int, result attemptResult) {
+// attemptEnded processes the result of an attempt, on the loop's goroutine. The first successful attempt
+// provides the response.
+func (l *eventLoop) attemptEnded(id policy.RequestID, attempt int, result attemptResult) {
 	r := l.requests[id]
 	r.deadlineExceeded = result.result == policy.TimedOut
-	// The transport asks the client's socket before it writes, so it may know of a disconnect before clientGone
-	// arrives. Without this check the Balancer would send a retry that nobody waits for.
-	if result.result == policy.NotSent && r.outbound.clientGone() {
-		l.closeForGoneClient(l.now, id, r)
+	// The transport checks the client's socket before it writes, so it may detect a disconnect before
+	// clientDisconnected arrives. Without this check the Balancer would send a retry for a client that has
+	// disconnected.
+	if result.result == policy.NotSent && r.outbound.clientDisconnected() {
+		l.closeDisconnected(l.now, id, r)
 	}
 	if result.result == policy.Succeeded && !r.closed {
 		l.respond(id, r, &response{status: http.StatusOK, header: result.header, body: result.body})
 	}
-	l.reportOutcome(policy.Outcome{RequestID: id, Attempt: number, Result: result.result})
+	l.reportOutcome(policy.Outcome{RequestID: id, Attempt: attempt, Result: result.result})
 }
 
-// reportOutcome reports the end of an attempt to the Balancer. It must be called once for each attempt.
+// reportOutcome reports the end of an attempt to the Balancer. It must be called exactly once for each
+// attempt.
 func (l *eventLoop) reportOutcome(o policy.Outcome) {
 	r := l.requests[o.RequestID]
 	r.inFlight--
@@ -103,8 +107,8 @@
 	}
 }
 
-// reportDeniedSends reports the sends that were not carried out. Send only notes them, as the Balancer is in the midst of
-// a call then and a Host must not call back; run calls this between two events.
+// reportDeniedSends reports the sends that were not carried out. Send only records them, as it runs within a
+// call of the Balancer and a Host must not call back into it. run calls reportDeniedSends between two events.
 func (l *eventLoop) reportDeniedSends() {
 	for len(l.deniedSends) > 0 {
 		o := l.deniedSends[0]
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -9,9 +9,9 @@
 	"cranehatch/policy"
 )
 
-// A request whose second attempt is still in flight has its response. Were the Balancer's decisions after that, or
-// the second attempt's end, carried out too, a client would get two responses. Each attempt has one Outcome, and with
-// the last of them the request leaves the table.
+// A request has its response while its second attempt is still in flight. Decisions of the Balancer after
+// that, and the end of the second attempt, must not produce another response. Each attempt must have one
+// Outcome, and the request must leave the table with the last of them.
 func TestOneResponseForEachRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -25,18 +25,18 @@
 	to := serverID("s-0")
 	l.Send(7, to, 0, 0)
 	l.runNextEvent(t)
-	if a := wait(t, "the response", reply); a.status != http.StatusOK || string(a.body) != "first" {
-		t.Fatalf("response %+v", a)
+	if got := wait(t, "the response", reply); got.status != http.StatusOK || string(got.body) != "first" {
+		t.Fatalf("response = %+v, want the first attempt's", got)
 	}
 	if len(l.requests) != 0 {
-		t.Fatal("the request is still in the table")
+		t.Fatal("request is still in the table after its response")
 	}
 	l.requests[7] = r // as if another attempt were in flight
 	l.Reject(7, time.Second)
 	l.Fail(7)
 	l.Send(7, to, 0, 0)
 	if len(reply) != 0 || len(l.deniedSends) != 1 || l.deniedSends[0] != (policy.Outcome{RequestID: 7, Attempt: 1, Result: policy.NotSent}) {
-		t.Errorf("%d more responses, not sent %+v, want none and attempt 1", len(reply), l.deniedSends)
+		t.Errorf("%d more responses, denied sends = %+v, want none and attempt 1", len(reply), l.deniedSends)
 	}
 	l.reportDeniedSends()
 	if len(l.requests) != 0 || r.inFlight != 0 {
@@ -45,31 +45,31 @@
 	close(release)
 }
 
-// An attempt that is cancelled after the response still has its Outcome: without it the Balancer would count it as in
-// flight for ever.
-func TestOutcomeAfterTheResponse(t *testing.T) {
+// An attempt that is cancelled after its request's response must still report an Outcome. Otherwise the
+// Balancer would count it as in flight forever.
+func TestCancelledAttemptReportsOutcomeAfterResponse(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	r, reply := l.addRequest(7)
 	l.Send(7, serverID("s-0"), 0, 0)
 	wait(t, "the request", s.seen)
 	l.Fail(7)
-	if a := wait(t, "the response", reply); a.status != http.StatusGatewayTimeout {
-		t.Errorf("status %d, want 504", a.status)
+	if got := wait(t, "the response", reply); got.status != http.StatusGatewayTimeout {
+		t.Errorf("status = %d, want 504", got.status)
 	}
 	if l.requests[7] != r {
-		t.Fatal("the request is no longer in the table, with an attempt in flight")
+		t.Fatal("request is no longer in the table although an attempt is in flight")
 	}
 	l.Cancel(7, 0)
 	l.Cancel(7, 5)
 	l.runNextEvent(t)
 	if len(l.requests) != 0 {
-		t.Error("the request is still in the table")
+		t.Error("request is still in the table after its last attempt has ended")
 	}
 }
 
-// A client that disconnects gets no response, and its attempts are cancelled.
-func TestClientGone(t *testing.T) {
+// A client that disconnects must get no response, and its attempts must be cancelled.
+func TestDisconnectedClientGetsNoResponse(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	reply := make(chan response, 1)
@@ -78,7 +78,7 @@
 	wait(t, "the request", s.seen)
 	l.clientGone(id)
 	l.runNextEvent(t)
-	l.runNextEvent(t) // the end of its attempt
+	l.runNextEvent(t) // its attempt ends
 	wait(t, "the connection to close", s.closed)
 	if len(l.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d responses, want none", len(l.requests), len(reply))
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// rejectedBodyTimeout is how long the rest of a rejected request's body is read and dropped before its
-	// connection is closed.
+	// rejectedBodyTimeout limits how long the rest of a rejected request's body is read and discarded before
+	// the connection is closed.
 	rejectedBodyTimeout = 500 * time.Millisecond
-	// maxDroppedBodyBytes limits what is read of it: more would cost processor time that other requests need.
+	// maxDiscardedBodyBytes limits how much of that body is read: reading more would cost CPU time that other
+	// requests need.
 	maxDroppedBodyBytes = 256 << 10
 )
 
-// write sends the final response of a request to its client.
+// write sends the final response to the client.
 func (r response) write(w http.ResponseWriter) {
 	switch r.status {
 	case http.StatusOK:
@@ -33,46 +34,47 @@
 		w.Header()[name] = values
 	}
 	if r.header[headerContentType] == nil {
-		w.Header()[headerContentType] = nil // or net/http would guess one from the body
+		w.Header()[headerContentType] = nil // keeps net/http from guessing a type from the body
 	}
 	w.Header().Set(headerContentLength, strconv.Itoa(len(r.body)))
-	_, _ = w.Write(r.body) // fails only if the client has gone, and then there is nobody to report it to
+	_, _ = w.Write(r.body) // fails only if the client has disconnected, so there is nothing to report
 }
 
-// writeUnavailable responds that the client may retry without harm, best after the pause; 0: it names none.
-func writeUnavailable(w http.ResponseWriter, pause time.Duration) {
-	if pause > 0 {
-		w.Header().Set(headerRetryAfter, strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
+// writeUnavailable responds with 503: the client may retry safely, preferably after retryAfter. With 0, the
+// response has no Retry-After.
+func writeUnavailable(w http.ResponseWriter, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		w.Header().Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// reject responds to a request that is not accepted, and closes its connection: where that request
-// ends is not certain, so what follows it on the connection can't be trusted to be the next request.
+// reject responds to a request that is not accepted, and closes its connection: the end of that request is
+// uncertain, so the bytes that follow it can't be trusted to be the next request.
 //
-// Connection: close keeps net/http from reading the rest of the request before the response is written. The
-// rest is read here, once the response is out: a close over unread bytes, or while the client still writes,
-// resets the connection, and a client whose write fails may never read the response. net/http would read the
-// rest itself, but not of a request that says Connection: close.
-func (f *ingress) reject(w http.ResponseWriter, r *http.Request, rejected *rejectionError) {
+// The header Connection: close keeps net/http from reading the rest of the request before the response is
+// written. reject reads the rest itself, once the response is flushed: closing the connection with bytes
+// unread, or while the client is still writing, resets it, and a client whose write fails may never read the
+// response. net/http does not read the rest of a request after a response with Connection: close.
+func (f *ingress) reject(w http.ResponseWriter, r *http.Request, rejection *rejectionError) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(f.rejectedBodyTimeout)) // fails only on a closed connection
-	writeError(w, rejected)
+	writeError(w, rejection)
 	if control.Flush() != nil {
-		return // the client has gone
+		return // the client has disconnected
 	}
 	if _, err := io.CopyN(io.Discard, r.Body, maxDroppedBodyBytes); err != io.EOF {
 		delayClose(r.Context())
 	}
 }
 
-// writeError writes a response with a reason as its text, the last on its connection. Its length is set so that it
-// is complete once it is flushed.
-func writeError(w http.ResponseWriter, rejected *rejectionError) {
-	text := rejected.reason + "\n"
+// writeError writes a rejection with its reason as the body, as the last response on its connection.
+// Content-Length is set so that the response is complete once it is flushed.
+func writeError(w http.ResponseWriter, rejection *rejectionError) {
+	text := rejection.reason + "\n"
 	w.Header().Set(headerConnection, "close")
 	w.Header().Set(headerContentType, "text/plain; charset=utf-8")
 	w.Header().Set(headerContentLength, strconv.Itoa(len(text)))
-	w.WriteHeader(rejected.status)
-	_, _ = io.WriteString(w, text) // fails only if the client has gone
+	w.WriteHeader(rejection.status)
+	_, _ = io.WriteString(w, text) // fails only if the client has disconnected
 }
--- a/internal/sidecar/outcome_test.go
+++ b/internal/sidecar/result_test.go
@@ -9,80 +9,81 @@
 	"cranehatch/policy"
 )
 
-// Each kind of response has its outcome. The connection goes back to the pool only after a complete and
-// well-formed response with nothing behind it.
-func TestResponseOutcomes(t *testing.T) {
+// Checks the result of an attempt for each kind of response. The connection must go back to the pool only
+// after a complete and well-formed response that no bytes follow. A wrong result could send a request again
+// that has run.
+func TestResponseResults(t *testing.T) {
 	const succeeded = "hi" // the body of each successful response
 	tooLong := strings.Repeat("x", maxBodyBytes+1)
 	for name, c := range map[string]struct {
 		response     string
-		serverCloses bool // the connection, after that
-		outcome      policy.Result
+		serverCloses bool // closes the connection after the response
+		result       policy.Result
 		pooled       bool
 	}{
 		"200": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-			outcome:  policy.Succeeded, pooled: true,
+			result:   policy.Succeeded, pooled: true,
 		},
 		"200 in chunks": {
 			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-			outcome:  policy.Succeeded, pooled: true,
+			result:   policy.Succeeded, pooled: true,
 		},
 		"200 after an interim response": {
 			response: "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-			outcome:  policy.Succeeded, pooled: true,
+			result:   policy.Succeeded, pooled: true,
 		},
 		"200 with Connection: close": {
 			response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
-			outcome:  policy.Succeeded,
+			result:   policy.Succeeded,
 		},
 		"200 with bytes behind it": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n",
-			outcome:  policy.Succeeded,
+			result:   policy.Succeeded,
 		},
 		"200 that ends with the connection": {
 			response: "HTTP/1.1 200 OK\r\n\r\nhi", serverCloses: true,
-			outcome: policy.ConnectionLost,
+			result: policy.ConnectionLost,
 		},
 		"500": {
 			response: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-			outcome:  policy.ServerError, pooled: true,
+			result:   policy.ServerError, pooled: true,
 		},
 		"500, not processed": {
 			response: "HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			outcome:  policy.ServerError, pooled: true,
+			result:   policy.ServerError, pooled: true,
 		},
 		"503": {
 			response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-			outcome:  policy.ServerError, pooled: true,
+			result:   policy.ServerError, pooled: true,
 		},
 		"503, not processed": {
 			response: "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			outcome:  policy.Rejected, pooled: true,
+			result:   policy.Rejected, pooled: true,
 		},
 		"504, not processed": {
 			response: "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			outcome:  policy.Rejected, pooled: true,
+			result:   policy.Rejected, pooled: true,
 		},
 		"not HTTP": {
 			response: "SMTP ready\r\n\r\n", serverCloses: true,
-			outcome: policy.ConnectionLost,
+			result: policy.ConnectionLost,
 		},
 		"body cut short": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", serverCloses: true,
-			outcome: policy.ConnectionLost,
+			result: policy.ConnectionLost,
 		},
 		"body too long": {
 			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(tooLong), tooLong), serverCloses: true,
-			outcome: policy.ConnectionLost,
+			result: policy.ConnectionLost,
 		},
 		"headers without end": {
 			response: "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+tooLong+"\r\n", 9),
-			outcome:  policy.ConnectionLost,
+			result:   policy.ConnectionLost,
 		},
 		"connection closed without a response": {
 			serverCloses: true,
-			outcome:      policy.ConnectionLost,
+			result:       policy.ConnectionLost,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -90,24 +91,24 @@
 				if r.conn > 0 {
 					return ok(conn, "retried")
 				}
-				_, _ = conn.Write([]byte(c.response)) // fails if the transport closes before the end
+				_, _ = conn.Write([]byte(c.response)) // fails if the transport closes the connection first
 				return !c.serverCloses
 			})
 			tr := newTestTransport(t)
-			got := attempt(t, tr, s.host, "1", generous)
-			if got.result != c.outcome {
-				t.Fatalf("outcome %v, want %v", got.result, c.outcome)
+			got := attempt(t, tr, s.endpoint, "1", generous)
+			if got.result != c.result {
+				t.Fatalf("result = %v, want %v", got.result, c.result)
 			}
 			if got.result == policy.Succeeded && string(got.body) != succeeded {
-				t.Fatalf("body %q, want %q", got.body, succeeded)
+				t.Fatalf("body = %q, want %q", got.body, succeeded)
 			}
-			idle := len(tr.idle[s.host])
+			idle := len(tr.idle[s.endpoint])
 			if pooled := idle != 0; pooled != c.pooled {
-				t.Errorf("%d connections idle, want the connection pooled: %v", idle, c.pooled)
+				t.Errorf("idle connections = %d, want the connection pooled: %v", idle, c.pooled)
 			}
-			expectOpen(t, tr, idle)
+			expectOpenConns(t, tr, idle)
 			if len(s.seen) != 1 {
-				t.Errorf("the server got %d requests, want 1", len(s.seen))
+				t.Errorf("server got %d requests, want 1", len(s.seen))
 			}
 		})
 	}
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	livenessPath   = "/alive"        // of a health check where servers report no load
-	loadReportPath = "/metrics/load" // of a health check where they do: the body is the report
+	livenessPath   = "/alive"        // path of health checks if servers provide no load reports
+	loadReportPath = "/metrics/load" // path of health checks if they do; the response body is the report
 )
 
 // transport sends attempts and health checks to servers over pooled connections.
 //
-// It is not http.Transport because that sends a request again on its own, without a decision of package
-// policy, when an idle connection turns out to be closed.
+// It does not use http.Transport, which sends a request again, without a decision of package policy, when an
+// idle connection turns out to be closed.
 type transport struct {
 	*connPool    // its lock also guards unwritten
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
@@ -26,13 +26,13 @@
 	reportFormat loadreport.Format
 	healthPath   string
 
-	unwritten map[*exchange]*endpoint // attempts of which nothing is written yet, by the server they go to
+	unwritten map[*exchange]*endpoint // attempts whose request has not been written yet, with their servers
 }
 
-func newTransport(cfg *Config, c clock) *transport {
+func newTransport(cfg *Config, clk clock) *transport {
 	t := &transport{
-		connPool: newConnPool(cfg, c),
-		// Without TCP keep-alive: a server that went silent is found by the timeouts, which are much shorter.
+		connPool: newConnPool(cfg, clk),
+		// TCP keep-alive is off: the much shorter timeouts detect an unresponsive server.
 		dial:        (&net.Dialer{KeepAlive: -1}).DialContext,
 		dialTimeout: cfg.DialTimeout, reportFormat: cfg.ReportFormat,
 		healthPath: livenessPath,
@@ -46,29 +46,29 @@
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
-	result policy.Result // outcome.go says what each proves
+	result policy.Result // see result.go for what each value proves
 	header http.Header   // of the response, if Succeeded
-	body   []byte
+	body   []byte        // of the response, if Succeeded
 }
 
 // send starts an attempt. It is abandoned at attemptDeadline, and its request is written before writeDeadline
-// or not at all; a writeDeadline of 0 sets no limit of its own.
+// or not at all; a writeDeadline of 0 sets no separate limit.
 //
-// The goroutine that send starts ends at attemptDeadline at the latest, and earlier once the attempt is
-// cancelled. It calls done exactly once, last; nobody waits for it otherwise.
+// The attempt runs on a goroutine of its own, which ends at attemptDeadline at the latest, or once the
+// attempt is cancelled. It calls done exactly once, as its last step; nothing else waits for it.
 func (t *transport) send(to *endpoint, request *outboundRequest, attemptDeadline, writeDeadline time.Duration, done func(attemptResult)) *exchange {
 	limits := deadlines{response: attemptDeadline, write: writeDeadline}
 	if writeDeadline == 0 {
 		limits.write = attemptDeadline
 	}
 	x := new(exchange)
-	// Registered before the goroutine runs: stopUnwritten may be called before that gets anywhere.
+	// Registered before the goroutine starts, as abandonUnwritten may be called before it runs.
 	t.registerUnwritten(x, to)
 	go func() {
-		res, outcome := t.roundTrip(x, to, request, limits)
-		t.unregisterUnwritten(x) // for exchanges that ended unwritten
+		res, result := t.roundTrip(x, to, request, limits)
+		t.unregisterUnwritten(x) // for exchanges that ended before the write
 		if res == nil {
-			done(attemptResult{result: outcome})
+			done(attemptResult{result: result})
 			return
 		}
 		done(t.resultOf(res))
@@ -85,8 +85,8 @@
 	return attempt
 }
 
-// healthCheck requests a server's health or load report. It starts a goroutine, which ends within the dial
-// timeout and calls done exactly once, last.
+// healthCheck requests a server's health or load report. It starts a goroutine that ends within the dial
+// timeout and calls done exactly once, as its last step.
 func (t *transport) healthCheck(to *endpoint, now time.Duration, done func(ok bool, load policy.LoadReport)) {
 	go func() {
 		request := &outboundRequest{method: http.MethodGet, uri: t.healthPath, host: to.address}
@@ -106,17 +106,18 @@
 	t.unwritten[x] = to
 }
 
-// unregisterUnwritten is called when an exchange begins to write its request, or ends without that.
+// unregisterUnwritten is called when an exchange begins to write its request, or ends before that.
 func (t *transport) unregisterUnwritten(x *exchange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.unwritten, x)
 }
 
-// stopUnwritten is called when a server drains or is no longer listed: nothing new may be sent to it.
+// abandonUnwritten is called when a server drains or is no longer listed, as no new request may be sent to it
+// then.
 //
-// An attempt that is still opening a connection could otherwise be written there long after the endpoint
-// update. Such attempts end as NotSent, so that package policy may choose another server.
+// An attempt that is still dialing could otherwise be written long after the endpoint update. Such attempts
+// end as NotSent, so that package policy may choose another server.
 func (t *transport) stopUnwritten(to *endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
