--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	countersInterval = 10 * time.Second // between two log lines with the counters
+	countersInterval = 10 * time.Second // interval between log lines with the counters
 	eventQueueLength = 256              // events that may wait for the loop; post blocks while the queue is full
 )
 
@@ -33,15 +33,15 @@
 	peers          *gossipTransport // broadcasts gossip to the other sidecars; nil: no peers or no gossip socket
 	maxAttempts    int              // limit on the attempts of one request
 
-	lastID atomic.Uint64                // of the requests submitted so far
+	lastID atomic.Uint64                // id of the request submitted last
 	events chan func(now time.Duration) // posted events that have not run yet
 
 	// The fields below are used only on the loop's goroutine.
 
 	now           time.Duration // time of the event being run
 	requests      map[policy.RequestID]*request
-	endpoints     map[policy.EndpointID]*endpoint // listed endpoints that have not been removed
-	deniedSends   []policy.Outcome                // sends not carried out and not yet reported
+	endpoints     map[policy.EndpointID]*endpoint // the listed endpoints, without removed ones
+	deniedSends   []policy.Outcome // outcomes that reportDeniedSends has yet to report
 	pendingTimers []time.Duration                 // times at which to call TimerFired, ascending, without duplicates
 	timer         *time.Timer                     // expires at the first of pendingTimers
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -9,10 +9,10 @@
 	"cranehatch/policy"
 )
 
-// deadlines are the time limits of one exchange, as times of the sidecar's clock.
+// deadlines are the time limits of one exchange, measured by the sidecar's clock.
 type deadlines struct {
-	response time.Duration // the exchange fails if its response is not complete by then
-	write    time.Duration // the request must not be written from then on; not later than response
+	response time.Duration // if the response is not complete by then, the exchange fails
+	write    time.Duration // writing must not begin at this time or later; never later than response
 }
 
 // exchange is the state of one attempt or health check, which connects, writes its request and reads the
@@ -23,7 +23,7 @@
 	abandoned bool
 	result    policy.Result // set when the exchange is abandoned
 	written   bool          // part of its request may have been sent
-	interrupt func()        // cancels the dial or closes the connection in use; nil: there is neither
+	interrupt func()        // cancels the dial or closes the connection in use; nil if there is neither
 }
 
 // cancel abandons the exchange. A request that is not yet being written is never written.
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -78,7 +78,8 @@
 			}
 			l.runNextEvent(t)
 			if len(s.seen) > 0 || r.closed || r.inFlight != 0 {
-				t.Errorf("retries written = %d, closed = %v, attempts in flight = %d, want 0, false and 0", len(s.seen), r.closed, r.inFlight)
+				t.Errorf("retries written = %d, closed = %v, attempts in flight = %d, want 0, false and 0",
+					len(s.seen), r.closed, r.inFlight)
 			}
 		})
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -31,11 +31,11 @@
 	maxConns    int           // limit on open connections
 
 	mu         sync.Mutex
-	idle       map[*endpoint][]*conn // most recently used last
+	idle       map[*endpoint][]*conn // each server's idle connections, the most recently used last
 	openConns  int                   // connections that are idle, in use or being dialed
-	sweeper    *time.Timer           // runs closeExpired; nil: not scheduled
+	sweeper    *time.Timer           // runs closeExpired; nil while no sweep is scheduled
 	dialed     int                   // connections dialed since the start
-	staleConns int                   // idle connections found closed or with unrequested bytes since the start
+	staleConns int                   // since the start: idle connections found closed or with unrequested bytes
 }
 
 func newConnPool(cfg *Config, clk clock) *connPool {
@@ -52,14 +52,15 @@
 
 // acquire returns the connection to a server that has been idle longest. If none may be reused, it reserves a
 // new one, counts it as open and returns nil: the caller must dial it or call unreserve. At the limit on open
-// connections it first closes the longest idle connection to any server, and returns errConnLimit if none is
-// idle.
+// connections it first closes the connection that has been idle longest, of any server, and returns
+// errConnLimit if none is idle.
 //
-// Taking the longest idle connection, and none that was idle for less than minIdle, prevents two failures. A
-// server may send bytes after a response, even a second copy of it, and nothing in them identifies the
-// request that they answer: on a connection that is reused immediately they would be read as the next
-// response. A server may also close the connection right after a response: a request sent at that moment may
-// or may not have run. connAlive detects both, if the bytes or the close arrive while the connection is idle.
+// Two failures are the reason for using the connection that has been idle longest, and none that was idle for
+// less than minIdle. A server may send bytes after a response, even a second copy of it, and nothing in them
+// identifies the request that they answer: on a connection that is reused immediately they would be read as
+// the next response. A server may also close the connection right after a response: a request sent at that
+// moment may or may not have run. connAlive detects bytes and a close that arrive while the connection is
+// idle.
 func (p *connPool) acquire(to *endpoint) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -13,9 +13,9 @@
 	outbound         *outboundRequest
 	reply            chan<- response
 	deadline         time.Duration
-	attempts         []*exchange // by attempt number; nil: not sent
+	attempts         []*exchange // indexed by attempt number; nil if the send was denied
 	inFlight         int         // attempts whose Outcome has not been reported yet
-	closed           bool        // it has its response, or its client has disconnected
+	closed           bool        // the response was sent to reply, or the client has disconnected
 	deadlineExceeded bool        // the attempt that ended last timed out; Fail then responds with 504
 }
 
--- a/internal/sidecar/result.go
+++ b/internal/sidecar/result.go
@@ -19,19 +19,19 @@
 //     server drains, no file descriptor is left), or because a write deadline shorter than the usual dial timeout
 //     passed. It is no evidence about the server.
 //     Rejected: the server reports with X-Not-Processed that the request has not run.
-//   - ConnectionLost, TimedOut, ServerError and Cancelled prove nothing: once the last byte is written, the request
-//     may have run, whether or not a response arrives.
+//   - ConnectionLost, TimedOut, ServerError and Cancelled do not: once the last byte is written, the request may
+//     have run, whether or not a response arrives.
 //
 // The errors below are divided the same way: errConnLimit and errAbandoned occur before the request is written, the
 // errors of readResponse after it.
 
-// Errors before the request is written, which has not run then.
+// Errors that occur before the request is written: the request has not run.
 var (
-	errConnLimit = errors.New("transport: connection limit reached and no connection idle")
+	errConnLimit = errors.New("transport: connection limit reached and no idle connection to close")
 	errAbandoned = errors.New("transport: exchange abandoned before its request was written")
 )
 
-// Errors of readResponse after the request was written, which may have run then.
+// Errors of readResponse, which occur after the request was written: the request may have run.
 var (
 	errBodyTooLarge            = errors.New("transport: response body exceeds the size limit")
 	errBodyUndelimited         = errors.New("transport: response body has neither Content-Length nor chunked encoding")
@@ -80,8 +80,8 @@
 }
 
 // classifyResponse returns the result of an exchange with a complete response. X-Not-Processed counts only
-// with the statuses of a server that is overloaded or past the request's deadline; with any other status it
-// is ignored as a fault of the server.
+// with the statuses of a server that is overloaded or past the request's deadline. With any other status it
+// is taken for a fault of the server and ignored.
 func classifyResponse(res *serverResponse) policy.Result {
 	switch res.StatusCode {
 	case http.StatusOK:
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -20,13 +20,13 @@
 // It does not use http.Transport, which sends a request again, without a decision of package policy, when an
 // idle connection turns out to be closed.
 type transport struct {
-	*connPool    // its lock also guards unwritten
+	*connPool    // its mu also guards unwritten
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
 	dialTimeout  time.Duration
 	reportFormat loadreport.Format
 	healthPath   string
 
-	unwritten map[*exchange]*endpoint // attempts whose request has not been written yet, with their servers
+	unwritten map[*exchange]*endpoint // servers of the attempts whose request has not been written yet
 }
 
 func newTransport(cfg *Config, clk clock) *transport {
@@ -47,8 +47,8 @@
 // attemptResult is how an attempt ended.
 type attemptResult struct {
 	result policy.Result // see result.go for what each value proves
-	header http.Header   // of the response, if Succeeded
-	body   []byte        // of the response, if Succeeded
+	header http.Header   // headers of the response if Succeeded, else nil
+	body   []byte        // body of the response if Succeeded, else nil
 }
 
 // send starts an attempt. It is abandoned at attemptDeadline, and its request is written before writeDeadline
@@ -113,8 +113,8 @@
 	delete(t.unwritten, x)
 }
 
-// abandonUnwritten is called when a server drains or is no longer listed, as no new request may be sent to it
-// then.
+// abandonUnwritten is called when a server drains or is no longer listed, after which no new request may be
+// sent to it.
 //
 // An attempt that is still dialing could otherwise be written long after the endpoint update. Such attempts
 // end as NotSent, so that package policy may choose another server.
