--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -41,7 +41,7 @@
 	now           time.Duration // time of the event being run
 	requests      map[policy.RequestID]*request
 	endpoints     map[policy.EndpointID]*endpoint // the listed endpoints, without removed ones
-	deniedSends   []policy.Outcome // outcomes that reportDeniedSends has yet to report
+	deniedSends   []policy.Outcome                // outcomes that reportDeniedSends has yet to report
 	pendingTimers []time.Duration                 // times at which to call TimerFired, ascending, without duplicates
 	timer         *time.Timer                     // expires at the first of pendingTimers
 }
