--- a/internal/sidecar/acceptor.go
+++ b/internal/sidecar/acceptor.go
@@ -8,45 +8,49 @@
 	"time"
 )
 
-// minClientIdle is how long a connection is idle before it may be closed to admit another one. A longer time would
-// let clients that open a connection for each request, and leave the old ones open, delay all others.
+// minClientIdle is how long a connection must have been idle before it may be closed to admit another one.
+// With a longer time, clients that open a new connection for each request and leave the old ones open would
+// delay all others.
 const minClientIdle = 100 * time.Millisecond
 
-// acceptor is a listener that limits how many connections clients hold open. Without the limit they could take the
-// descriptors that connections to servers need, and Accept would fail with "too many open files".
+// acceptor is a listener that limits the number of open client connections. Without the limit, clients could
+// use up the file descriptors that connections to servers need, and Accept would fail with "too many open
+// files".
 //
-// At the limit a connection that is being closed anyway, or the one that has been idle for longest, is closed to admit a
-// new one; while all have a request open, new ones wait. Below the limit it closes none, as each close may cross a
-// request that its client is sending.
+// At the limit the acceptor closes a connection to admit a new one: first one that is already being closed,
+// otherwise the one that has been idle longest. While every connection has a request in flight, new ones
+// wait. Below the limit it closes no connection, because a close may coincide with a request that the client
+// is sending.
 //
-// net/http's Serve calls Accept in one goroutine; the rest is called from the goroutines of connections.
+// net/http's Serve calls Accept in a single goroutine; the other methods are called from the goroutines of
+// connections.
 type acceptor struct {
 	net.Listener
 	maxConns   int
 	closeDelay time.Duration // see clientConn.Close
 
-	mu        sync.Mutex // also guards the state of each clientConn
-	open      int
-	idle      list.List     // of *clientConn with no open request, longest idle first
-	closing   list.List     // of *clientConn whose sending side is closed, in the order in which they will be closed
-	allClosed chan struct{} // closed once none is open; nil: nobody waits for that
+	mu           sync.Mutex // also guards the state of each clientConn
+	openConns    int
+	idleConns    list.List     // of *clientConn with no request in flight, longest idle first
+	closingConns list.List     // of *clientConn whose sending side is closed, longest closing first
+	allClosed    chan struct{} // closed once no connection is open; nil before drained is called
 
-	freed     chan struct{} // has an item when a connection may have closed or become idle
-	closed    chan struct{} // closed with the listener
-	closeOnce sync.Once
+	capacityFreed chan struct{} // has an item when a connection may have been closed or become idle
+	closed        chan struct{} // closed by Close
+	closeOnce     sync.Once
 }
 
 func newAcceptor(l net.Listener, maxConns int) *acceptor {
 	return &acceptor{
-		Listener:   l,
-		maxConns:   maxConns,
-		closeDelay: closeDelay,
-		freed:      make(chan struct{}, 1),
-		closed:     make(chan struct{}),
+		Listener:      l,
+		maxConns:      maxConns,
+		closeDelay:    closeDelay,
+		capacityFreed: make(chan struct{}, 1),
+		closed:        make(chan struct{}),
 	}
 }
 
-// Accept waits for a client, and then until the limit admits its connection.
+// Accept waits for a client to connect, and then until the limit admits its connection.
 func (a *acceptor) Accept() (net.Conn, error) {
 	raw, err := a.Listener.Accept()
 	if err != nil {
@@ -67,7 +71,7 @@
 			return true
 		}
 		select {
-		case <-a.freed:
+		case <-a.capacityFreed:
 		case <-time.After(retryAfter):
 		case <-a.closed:
 			return false
@@ -75,21 +79,22 @@
 	}
 }
 
-// makeCapacity tells whether one more connection may be open, after closing an idle one if need be. If not, it
-// returns when the longest idle one may be closed.
+// makeCapacity reports whether one more connection may be open, closing another connection if necessary. If
+// none may be closed yet, it returns after how long to try again: when the longest idle connection may be
+// closed, or minClientIdle if none is idle.
 func (a *acceptor) makeCapacity() (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.open < a.maxConns {
+	if a.openConns < a.maxConns {
 		return 0, true
 	}
-	if next := a.closing.Front(); next != nil {
+	if next := a.closingConns.Front(); next != nil {
 		c := next.Value.(*clientConn)
 		a.release(c)
 		c.Conn.Close()
 		return 0, true
 	}
-	longestIdle := a.idle.Front()
+	longestIdle := a.idleConns.Front()
 	if longestIdle == nil {
 		return minClientIdle, false
 	}
@@ -102,78 +107,79 @@
 	return 0, true
 }
 
-// add takes a connection into account. It is idle until its first byte.
+// add registers a new connection. It counts as idle until its first byte is read.
 func (a *acceptor) add(raw net.Conn) *clientConn {
 	c := &clientConn{Conn: raw, acceptor: a, idleSince: time.Now()}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.open++
-	c.idleElement = a.idle.PushBack(c)
+	a.openConns++
+	c.idleElement = a.idleConns.PushBack(c)
 	return c
 }
 
-// release takes a connection out of account, once. The caller holds the lock.
+// release removes a connection from the acceptor's count and lists, once. The caller holds the lock.
 func (a *acceptor) release(c *clientConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	a.open--
-	if a.open == 0 {
+	a.openConns--
+	if a.openConns == 0 {
 		a.notifyAllClosed()
 	}
 	a.markActive(c)
 	if c.closingElement != nil {
-		a.closing.Remove(c.closingElement)
+		a.closingConns.Remove(c.closingElement)
 		c.closingElement = nil
 	}
-	a.notifyFreed()
+	a.notifyCapacityFreed()
 }
 
-// mustDelayClose tells whether delayClose was called for a connection.
+// mustDelayClose reports whether delayClose was called for a connection.
 func (a *acceptor) mustDelayClose(c *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return c.closeLater
+	return c.closeDelayed
 }
 
-// markClosing is called when the sending side of a connection is closed, and the rest will be.
+// markClosing records that the sending side of a connection is closed and that the socket will be closed
+// later.
 func (a *acceptor) markClosing(c *clientConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !c.closed && c.closingElement == nil {
 		a.markActive(c)
-		c.closingElement = a.closing.PushBack(c)
-		a.notifyFreed()
+		c.closingElement = a.closingConns.PushBack(c)
+		a.notifyCapacityFreed()
 	}
 }
 
-// markActive is called when a connection is not idle any more. The caller holds the lock.
+// markActive records that a connection is no longer idle. The caller holds the lock.
 func (a *acceptor) markActive(c *clientConn) {
 	if c.idleElement != nil {
-		a.idle.Remove(c.idleElement)
+		a.idleConns.Remove(c.idleElement)
 		c.idleElement = nil
 	}
 }
 
-// markIdle is called when a connection has no open request any more. The caller holds the lock.
+// markIdle records that a connection has no request in flight any more. The caller holds the lock.
 func (a *acceptor) markIdle(c *clientConn) {
 	if c.idleElement == nil {
 		c.idleSince = time.Now()
-		c.idleElement = a.idle.PushBack(c)
-		a.notifyFreed()
+		c.idleElement = a.idleConns.PushBack(c)
+		a.notifyCapacityFreed()
 	}
 }
 
-// notifyFreed has waitForCapacity look again.
-func (a *acceptor) notifyFreed() {
+// notifyCapacityFreed makes waitForCapacity check again.
+func (a *acceptor) notifyCapacityFreed() {
 	select {
-	case a.freed <- struct{}{}:
+	case a.capacityFreed <- struct{}{}:
 	default:
 	}
 }
 
-// notifyAllClosed closes allClosed, if somebody waits for it and it is not closed yet. The caller holds the lock.
+// notifyAllClosed closes allClosed if drained has been called, once. The caller holds the lock.
 func (a *acceptor) notifyAllClosed() {
 	if a.allClosed == nil {
 		return
@@ -185,19 +191,20 @@
 	}
 }
 
-// drained returns a channel that is closed once no connection is open. Connections that are accepted after that have
-// no promise: the process is about to end. It must be called once.
+// drained returns a channel that is closed once no connection is open. Connections that are accepted after
+// that are not waited for, as the process is about to exit. It must be called only once.
 func (a *acceptor) drained() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.allClosed = make(chan struct{})
-	if a.open == 0 {
+	if a.openConns == 0 {
 		close(a.allClosed)
 	}
 	return a.allClosed
 }
 
-// connStateChanged is the server's ConnState hook: it follows when a connection has an open request.
+// connStateChanged is the HTTP server's ConnState hook: it tracks whether a connection has a request in
+// flight.
 func (a *acceptor) connStateChanged(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*clientConn)
 	if !ok {
@@ -214,7 +221,7 @@
 	}
 }
 
-// Close closes the listener and ends a waiting Accept.
+// Close closes the listener and ends an Accept that is waiting.
 func (a *acceptor) Close() error {
 	a.closeOnce.Do(func() { close(a.closed) })
 	return a.Listener.Close()
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -13,47 +13,51 @@
 	"golang.org/x/sys/unix"
 )
 
-// closeDelay is how long a client has to read its last response before a connection with unread bytes is reset.
+// closeDelay is how long a client has to read its last response before a connection with unread bytes is
+// reset.
 const closeDelay = 500 * time.Millisecond
 
-var errNoSocket = errors.New("the connection is no socket")
+var errNotSocket = errors.New("connection is not a socket")
 
-// clientConn is one connection of a client. The acceptor's lock guards its state.
+// clientConn is a connection of a client. Its state is guarded by the acceptor's lock.
 //
-// Two readers share its socket, never at the same time:
+// Two readers share the socket, but never read it at the same time:
 //
-//   - net/http reads requests. While a handler runs it reads one byte in the background, and takes an error as the
-//     client's disconnect. If that byte comes instead, the client has sent more behind the open request (pipelining):
-//     net/http stores the byte and does not read again until the handler has returned.
-//   - From that byte on the clientMonitor reads, until the handler stops it. What it has read is in buffered, from
-//     where net/http's next reads are served first. So is what came behind a request in one read of the socket.
+//   - net/http reads requests. While a handler runs, it reads one byte in the background and takes an
+//     error as the client's disconnect. If that byte arrives, the client has sent more after the request
+//     in flight (pipelining): net/http stores the byte and does not read again until the handler has
+//     returned.
+//   - From that byte on the clientMonitor reads, until the handler stops it. It appends what it reads to
+//     buffered, which Read returns to net/http first. Read also puts there any bytes of the next request
+//     that arrived in the same read of the socket as the end of a request.
 //
-// The hand-over to the monitor is guarded by pipelined and reading (see monitorMayRead), the hand-over back by the
-// monitor's end: Read waits for it.
+// The monitor may start reading only when backgroundByteRead is set and httpReading is not (see
+// monitorMayRead). net/http may read again only when the monitor has ended: Read waits for that.
 type clientConn struct {
 	net.Conn
-	acceptor    *acceptor
-	idleElement *list.Element // in the acceptor's idle list; nil: a request is open, or it is closed
-	idleSince   time.Time     // since when no request is open
-	closed      bool          // released by the acceptor
-	closeLater  bool          // its last response may be unread by a client that still writes: see Close
-
-	closingElement *list.Element // in the acceptor's closing list; nil: Close has not been called, or it is closed
-
-	reading   bool           // net/http is in Read
-	pipelined bool           // net/http's latest read was of one byte, as its background read is
-	monitor   *clientMonitor // of the open request; nil: no handler waits for a response
-	buffered  []byte         // read from the socket, not yet by net/http. Owned by whichever of the two reads
-	boundary  requestBoundary
-
-	bufferedAt time.Time // when the latest of buffered was read from the socket
-	arrivedAt  time.Time // the same of what net/http has read last
+	acceptor     *acceptor
+	idleElement  *list.Element // in acceptor.idleConns; nil: has a request in flight, or is closing or closed
+	idleSince    time.Time     // when it last became idle
+	closed       bool          // released by the acceptor
+	closeDelayed bool          // the client may still be writing and not have read its last response: see Close
+
+	closingElement *list.Element // in acceptor.closingConns; nil: not half-closed by Close, or already closed
+
+	httpReading        bool           // net/http is in Read
+	backgroundByteRead bool           // net/http's latest read was of one byte, as its background read is
+	monitor            *clientMonitor // of the request in flight; nil: no handler is waiting for a response
+	buffered           []byte         // read from the socket, not yet by net/http; owned by the current reader
+	boundary           requestBoundary
+
+	bufferedAt time.Time // when the latest bytes in buffered were read from the socket
+	arrivedAt  time.Time // when the bytes of net/http's latest read were read from the socket
 }
 
-// Read is for net/http alone.
+// Read is called only by net/http.
 //
-// The acceptor closes a connection only while it is idle. Where that crosses a request's first bytes they are
-// dropped here, so that the request is not taken on: for the client that is a close before its request was read.
+// The acceptor closes a connection only while it is idle. If that close coincides with the first bytes of a
+// request, Read drops them so that the request is not processed: to the client it looks as if the connection
+// was closed before the request was read.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n := c.beginRead(p)
 	var err error
@@ -63,7 +67,7 @@
 	}
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
-	c.reading = false
+	c.httpReading = false
 	if fromSocket {
 		c.bufferedAt = time.Now()
 	}
@@ -73,46 +77,47 @@
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	if taken := c.boundary.take(p[:n]); taken < n {
-		c.buffered = append(bytes.Clone(p[taken:n]), c.buffered...)
-		n = taken
+	if consumed := c.boundary.consume(p[:n]); consumed < n {
+		c.buffered = append(bytes.Clone(p[consumed:n]), c.buffered...)
+		n = consumed
 	}
 	c.acceptor.markActive(c)
 	c.arrivedAt = c.bufferedAt
-	c.pipelined = len(p) == 1
+	c.backgroundByteRead = len(p) == 1
 	c.notifyMonitor()
 	return n, err
 }
 
-// requestArrived returns when the bytes that net/http has read last had come: for a request that was sent behind
-// another, some time before its turn.
-func (c *clientConn) requestArrived() time.Time {
+// requestArrivalTime returns when the bytes of net/http's latest read arrived. For a pipelined request that
+// is before the response to the previous request.
+func (c *clientConn) requestArrivalTime() time.Time {
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
 	return c.arrivedAt
 }
 
-// expectBody is called with the length of a request's body, before that is read; below 0 it is not known.
+// expectBody sets the length of a request's body, before the body is read. A negative length means that it is
+// not known.
 func (c *clientConn) expectBody(length int64) {
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
 	if length < 0 {
-		length = math.MaxInt64 // such requests are rejected, and the connection closed
+		length = math.MaxInt64 // such a request is rejected, and its connection closed
 	}
 	c.boundary.expectBody(length)
 }
 
-// hasNextRequest tells whether bytes of the client have arrived behind the present request. It must not be called
-// while a monitor reads.
+// hasNextRequest reports whether bytes of the client have arrived after the current request. It must not be
+// called while a monitor is reading.
 func (c *clientConn) hasNextRequest() bool {
 	c.acceptor.mu.Lock()
-	begun := c.pipelined || len(c.buffered) > 0
+	started := c.backgroundByteRead || len(c.buffered) > 0
 	c.acceptor.mu.Unlock()
-	return begun || c.hasUnread()
+	return started || c.hasUnreadBytes()
 }
 
-// beginRead makes net/http the reader, after the end of a monitor that reads, and serves what that has buffered. It
-// returns how many bytes that were.
+// beginRead makes net/http the reader of the connection, after waiting for the end of a monitor that is
+// reading. It copies buffered bytes to p and returns how many it copied.
 func (c *clientConn) beginRead(p []byte) int {
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
@@ -121,7 +126,7 @@
 		<-m.ended
 		c.acceptor.mu.Lock()
 	}
-	c.reading = true
+	c.httpReading = true
 	n := copy(p, c.buffered)
 	c.buffered = c.buffered[n:]
 	if len(c.buffered) == 0 {
@@ -130,22 +135,23 @@
 	return n
 }
 
-// monitorMayRead tells whether net/http has stopped reading until the handler returns. The caller holds the
+// monitorMayRead reports whether net/http has stopped reading until the handler returns. The caller holds the
 // acceptor's lock.
-func (c *clientConn) monitorMayRead() bool { return c.pipelined && !c.reading }
+func (c *clientConn) monitorMayRead() bool { return c.backgroundByteRead && !c.httpReading }
 
-// notifyMonitor notifies the monitor, if there is one, once it may read. The caller holds the acceptor's lock.
+// notifyMonitor notifies the monitor, if there is one and it may read. The caller holds the acceptor's lock.
 func (c *clientConn) notifyMonitor() {
 	if c.monitor != nil && c.monitorMayRead() {
 		c.monitor.notifyMayRead()
 	}
 }
 
-// Close closes the connection. Where that would reset it, because the client has sent what nobody reads, or still
-// sends, it closes the sending side only, and the socket after closeDelay: a reset may take the last response with it.
-// The acceptor closes it sooner where it needs the descriptor.
+// Close closes the connection. If the client has sent bytes that have not been read, or may still be sending,
+// an immediate close would reset the connection, and a reset can destroy the last response before the client
+// has read it. In that case Close closes only the sending side, and the socket after closeDelay, or earlier
+// if the acceptor needs the file descriptor.
 func (c *clientConn) Close() error {
-	if !c.hasUnread() && !c.acceptor.mustDelayClose(c) || c.CloseWrite() != nil {
+	if !c.hasUnreadBytes() && !c.acceptor.mustDelayClose(c) || c.CloseWrite() != nil {
 		return c.closeNow()
 	}
 	c.acceptor.markClosing(c)
@@ -153,7 +159,8 @@
 	return nil
 }
 
-// closeNow closes the socket before it releases the connection: the acceptor counts descriptors in use.
+// closeNow closes the socket and then releases the connection, in this order because the acceptor counts file
+// descriptors in use.
 func (c *clientConn) closeNow() error {
 	err := c.Conn.Close()
 	c.acceptor.mu.Lock()
@@ -162,21 +169,22 @@
 	return err
 }
 
-// hasUnread tells whether bytes of the client have arrived that nobody has read, and the client is still there.
-func (c *clientConn) hasUnread() bool {
+// hasUnreadBytes reports whether the socket holds bytes that have not been read, and the client is still
+// connected.
+func (c *clientConn) hasUnreadBytes() bool {
 	unread := false
 	err := c.pollSocket(unix.POLLIN|unix.POLLRDHUP, func(events int16) {
-		unread = events&unix.POLLIN != 0 && !peerClosed(events)
+		unread = events&unix.POLLIN != 0 && !remoteClosed(events)
 	})
 	return err == nil && unread
 }
 
-// pollSocket asks the kernel for the state of the socket at this moment and hands on the events that have come. It
-// returns an error where the connection is closed on this side, or is no socket.
+// pollSocket polls the socket without blocking and calls handle with the events that are ready, if any. It
+// returns an error if the connection is closed on this side or is not a socket.
 func (c *clientConn) pollSocket(events int16, handle func(events int16)) error {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return errNoSocket
+		return errNotSocket
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -190,22 +198,24 @@
 	})
 }
 
-// peerClosed tells by events of a socket whether the other side has closed or reset it, or closed its sending side.
-func peerClosed(events int16) bool {
+// remoteClosed reports whether a socket's poll events show that the remote side has closed or reset the
+// connection, or closed its sending side.
+func remoteClosed(events int16) bool {
 	return events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// delayClose has the connection of a request closed as if bytes were left unread; ctx is the request's context.
+// delayClose makes Close delay closing the connection of a request as if it had unread bytes; ctx is the
+// request's context.
 func delayClose(ctx context.Context) {
-	if c := clientConnOf(ctx); c != nil {
+	if c := clientConnFromContext(ctx); c != nil {
 		c.acceptor.mu.Lock()
 		defer c.acceptor.mu.Unlock()
-		c.closeLater = true
+		c.closeDelayed = true
 	}
 }
 
-// CloseWrite lets net/http close its sending side first. Without it net/http would close the connection at once, and
-// where unread bytes remain the kernel sends a reset, which can overtake the response.
+// CloseWrite lets net/http close the sending side first. Without this method net/http would close the
+// connection at once, and if unread bytes remain the kernel sends a reset, which can overtake the response.
 func (c *clientConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
--- a/internal/sidecar/clientmonitor.go
+++ b/internal/sidecar/clientmonitor.go
@@ -10,55 +10,60 @@
 )
 
 const (
-	// maxBufferedBytes limits what is buffered for a client. One that sends more behind an open request is disconnected:
-	// it would take memory, and with its bytes unread its own disconnect could not be noticed.
+	// maxBufferedBytes limits the bytes buffered for a client. A client that sends more after its request in
+	// flight is disconnected: they would take up memory, and if they were left unread its disconnect could
+	// not be noticed.
 	maxBufferedBytes = maxHeaderBytes + monitorReadBytes
 
-	monitorReadBytes = 4 << 10 // read at once
+	// monitorReadBytes is the size of the monitor's read buffer.
+	monitorReadBytes = 4 << 10
 )
 
-// clientMonitor notices that a client disconnects while its request is open, so that nothing more is sent to servers
-// for it.
+// clientMonitor detects that a client disconnects while its request is in flight, so that nothing more is
+// sent to servers for that request.
 //
-// net/http notices that too (it ends the request's context), but only until the client sends something behind the
-// request. Then it stops reading at the first byte, and a disconnect behind that byte goes unnoticed: the request
-// would keep its queue slot and be sent to a server though nobody waits for it. From there on the monitor reads; see
-// clientConn for how the two share the socket.
+// net/http detects this too (it cancels the request's context), but only until the client sends more bytes
+// after the request. net/http then stops reading at the first of them, and a later disconnect goes unnoticed:
+// the request would keep its queue slot and be sent to a server although no client is waiting for the
+// response. From that byte on the monitor reads; clientConn describes how the two share the socket.
 //
-// The handler of the request makes the monitor with monitorClient, which starts its goroutine, and must call stop
-// before it returns, which waits for that goroutine's end. The goroutine ends with stop, or once it has closed gone.
+// The handler of a request creates the monitor with monitorClient, which starts its goroutine. The handler
+// must call stop before it returns. The goroutine ends when stop is called or after it has closed
+// disconnected.
 type clientMonitor struct {
-	conn    *clientConn
-	gone    chan struct{} // closed once the client has disconnected, or sent more than maxBufferedBytes
-	mayRead chan struct{} // has an item when net/http may have stopped reading
-	quit    chan struct{} // closed by stop
-	ended   chan struct{} // closed when the goroutine has ended
+	conn         *clientConn
+	disconnected chan struct{} // closed once the client has disconnected, or has sent more than maxBufferedBytes
+	mayRead      chan struct{} // has an item when net/http may have stopped reading
+	quit         chan struct{} // closed by stop
+	ended        chan struct{} // closed when the goroutine has ended
 
-	reading bool // the goroutine reads, or has read, the socket. Under the acceptor's lock
+	reading bool // the goroutine is reading, or has read, the socket; guarded by the acceptor's lock
 }
 
-type connKey struct{}
+type clientConnKey struct{}
 
-// connContext is the server's ConnContext hook: it lets monitorClient find the connection of a request.
+// connContext is the HTTP server's ConnContext hook: it stores the connection for clientConnFromContext.
 func connContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// clientConnOf returns the connection of a request by its context, nil in tests that have none.
-func clientConnOf(ctx context.Context) *clientConn {
-	c, _ := ctx.Value(connKey{}).(*clientConn)
+// clientConnFromContext returns the connection of a request from its context, or nil in tests that have no
+// connection.
+func clientConnFromContext(ctx context.Context) *clientConn {
+	c, _ := ctx.Value(clientConnKey{}).(*clientConn)
 	return c
 }
 
-// monitorClient starts a monitor for the client of a request whose body has been read; ctx is the request's context.
+// monitorClient starts a monitor for the client of a request whose body has been read; ctx is the request's
+// context.
 func monitorClient(ctx context.Context) *clientMonitor {
-	c := clientConnOf(ctx)
+	c := clientConnFromContext(ctx)
 	m := &clientMonitor{
-		conn:    c,
-		gone:    make(chan struct{}),
-		mayRead: make(chan struct{}, 1),
-		quit:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		conn:         c,
+		disconnected: make(chan struct{}),
+		mayRead:      make(chan struct{}, 1),
+		quit:         make(chan struct{}),
+		ended:        make(chan struct{}),
 	}
 	c.acceptor.mu.Lock()
 	defer c.acceptor.mu.Unlock()
@@ -78,10 +83,11 @@
 			return
 		}
 	}
-	m.readUntilGone()
+	m.readUntilDisconnect()
 }
 
-// claimReading makes the monitor the reader of the connection, if net/http has stopped reading.
+// claimReading makes the monitor the reader of the connection if net/http has stopped reading, and reports
+// whether it did.
 func (m *clientMonitor) claimReading() bool {
 	m.conn.acceptor.mu.Lock()
 	defer m.conn.acceptor.mu.Unlock()
@@ -89,7 +95,7 @@
 	return m.reading
 }
 
-func (m *clientMonitor) readUntilGone() {
+func (m *clientMonitor) readUntilDisconnect() {
 	buf := make([]byte, monitorReadBytes)
 	for {
 		n, err := m.conn.Conn.Read(buf)
@@ -98,27 +104,27 @@
 			m.conn.bufferedAt = time.Now()
 		}
 		select {
-		case <-m.quit: // an error may be from stop's read deadline, so it says nothing of the client
+		case <-m.quit: // the error may come from stop's read deadline, not from the client
 			return
 		default:
 		}
 		if err != nil || len(m.conn.buffered) > maxBufferedBytes {
-			close(m.gone)
+			close(m.disconnected)
 			return
 		}
 	}
 }
 
-// notifyMayRead has run look whether it may read. The caller holds the acceptor's lock.
+// notifyMayRead makes run check whether the monitor may read. The caller holds the acceptor's lock.
 func (m *clientMonitor) notifyMayRead() {
 	select {
 	case m.mayRead <- struct{}{}:
-	default: // run has not taken the item before; it will see the current state
+	default: // run has not received the previous item yet and will see the current state
 	}
 }
 
-// stop ends the monitor and waits for the end of its goroutine: from then on net/http is the only reader. A read
-// under way is ended by a read deadline in the past, which is taken back afterwards.
+// stop ends the monitor and waits for its goroutine; after that net/http is the only reader. It interrupts a
+// read with a read deadline in the past and then removes that deadline.
 func (m *clientMonitor) stop() {
 	m.conn.acceptor.mu.Lock()
 	m.conn.monitor = nil
@@ -126,7 +132,7 @@
 	reading := m.reading
 	m.conn.acceptor.mu.Unlock()
 	if reading {
-		_ = m.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection, on which the read fails too
+		_ = m.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection, as the read then does
 	}
 	<-m.ended
 	if reading {
@@ -134,15 +140,16 @@
 	}
 }
 
-// clientClosed tells whether the client has closed its connection, or its sending side, at this moment. It asks the
-// kernel, so it sees a close behind bytes that nobody has read, and one that no goroutine has had CPU time to notice.
+// clientClosed reports whether the client has closed its connection or its sending side, or the monitor has
+// closed disconnected. It polls the socket, so it also sees a close that follows unread bytes, and one that
+// no goroutine has had CPU time to notice yet.
 func (m *clientMonitor) clientClosed() bool {
 	select {
-	case <-m.gone:
+	case <-m.disconnected:
 		return true
 	default:
 	}
 	closed := false
-	err := m.conn.pollSocket(unix.POLLRDHUP, func(events int16) { closed = peerClosed(events) })
-	return closed || err != nil && !errors.Is(err, errNoSocket) // an error: closed on this side
+	err := m.conn.pollSocket(unix.POLLRDHUP, func(events int16) { closed = remoteClosed(events) })
+	return closed || err != nil && !errors.Is(err, errNotSocket) // an error means that it is closed on this side
 }
--- a/internal/sidecar/clientmonitor_test.go
+++ b/internal/sidecar/clientmonitor_test.go
@@ -92,7 +92,7 @@
 }
 
 // lateNotice is a loop that is short of CPU: the event that a client has disconnected waits while others run.
-type lateNotice struct {
+type delayedDisconnect struct {
 	loop      *eventLoop
 	gate      *dialGate
 	server    *stub
@@ -100,9 +100,9 @@
 	address   string // where clients connect
 }
 
-func newLateNotice(t *testing.T) *lateNotice {
+func newDelayedDisconnect(t *testing.T) *delayedDisconnect {
 	t.Helper()
-	n := &lateNotice{server: newStub(t, echo), rejecting: newStub(t, rejectUnprocessed)}
+	n := &delayedDisconnect{server: newStub(t, echo), rejecting: newStub(t, rejectUnprocessed)}
 	n.loop = newTestLoop(t, n.server.address)
 	n.gate = gateDials(n.loop.transport)
 	_, n.address = serveClients(t, n.loop)
@@ -110,7 +110,7 @@
 }
 
 // disconnect has a client disconnect and returns the event of it, which has not run.
-func (n *lateNotice) disconnect(t *testing.T, c *net.TCPConn, how func(*testing.T, *net.TCPConn)) (clientGone func(now time.Duration)) {
+func (n *delayedDisconnect) disconnect(t *testing.T, c *net.TCPConn, how func(*testing.T, *net.TCPConn)) (clientGone func(now time.Duration)) {
 	t.Helper()
 	how(t, c)
 	return n.loop.takeEvent(t, "the client's disconnect")
@@ -118,8 +118,8 @@
 
 // lateNoticeStages are the stages in which a request may be when its client disconnects. Each brings one there, has
 // its client disconnect, and then does what makes the loop or the transport send it on.
-var lateNoticeStages = map[string]func(t *testing.T, n *lateNotice, how func(*testing.T, *net.TCPConn)) (clientGone func(now time.Duration)){
-	"submitted": func(t *testing.T, n *lateNotice, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
+var delayedDisconnectStages = map[string]func(t *testing.T, n *delayedDisconnect, how func(*testing.T, *net.TCPConn)) (clientGone func(now time.Duration)){
+	"submitted": func(t *testing.T, n *delayedDisconnect, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
 		n.gate.admit <- true
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		submit := n.loop.takeEvent(t, "the request")
@@ -127,7 +127,7 @@
 		submit(n.loop.clock.now())
 		return clientGone
 	},
-	"queued": func(t *testing.T, n *lateNotice, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
+	"queued": func(t *testing.T, n *delayedDisconnect, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
 		n.gate.admit <- true
 		n.loop.updateEndpoints(t, "draining", n.server.address)
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
@@ -136,7 +136,7 @@
 		n.loop.updateEndpoints(t, "ready", n.server.address)
 		return clientGone
 	},
-	"between attempts": func(t *testing.T, n *lateNotice, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
+	"between attempts": func(t *testing.T, n *delayedDisconnect, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
 		n.gate.admit <- true
 		n.loop.updateEndpoints(t, "ready", n.rejecting.address)
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
@@ -149,7 +149,7 @@
 		n.loop.updateEndpoints(t, "ready", n.rejecting.address, n.server.address)
 		return clientGone
 	},
-	"dialing": func(t *testing.T, n *lateNotice, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
+	"dialing": func(t *testing.T, n *delayedDisconnect, how func(*testing.T, *net.TCPConn)) func(time.Duration) {
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		n.loop.runNextEvent(t)
 		wait(t, "the dial", n.gate.started)
@@ -163,9 +163,9 @@
 // sent on, once per client that had left. The transport asks the client's socket itself before it dials or writes.
 func TestClientDisconnectsWhileLoopIsBehind(t *testing.T) {
 	for name, how := range disconnects {
-		for stage, reach := range lateNoticeStages {
+		for stage, reach := range delayedDisconnectStages {
 			t.Run(stage+"/"+name, func(t *testing.T) {
-				n := newLateNotice(t)
+				n := newDelayedDisconnect(t)
 				clientGone := reach(t, n, how)
 				n.loop.runNextEvent(t) // the end of the attempt, as not sent
 				if len(n.loop.requests) != 0 {
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -7,24 +7,26 @@
 	"strings"
 )
 
-// The request headers that the application sends, in net/http's canonical spelling. parseRequest is the
-// only place that maps them to policy.Request; the rest of the sidecar and package policy use its terms.
+// Request headers that the application sends, in net/http's canonical spelling. Only parseRequest maps them to
+// policy.Request; the rest of the sidecar and package policy use the terms of policy.Request.
 const (
-	headerRequestID      = "X-Request-Id"     // names the request towards servers; unique among those in flight
-	headerPriorityClass  = "X-Priority-Class" // policy.Request.Class, by the class's name
-	headerTenantID       = "X-Tenant-Id"      // policy.Request.Tenant, by the tenant's name
-	headerRouteKey       = "X-Route-Key"      // policy.Request.Key, as a hash
+	headerRequestID      = "X-Request-Id"     // identifies the request to servers; unique among those in flight
+	headerPriorityClass  = "X-Priority-Class" // name of policy.Request.Class
+	headerTenantID       = "X-Tenant-Id"      // name of policy.Request.Tenant
+	headerRouteKey       = "X-Route-Key"      // policy.Request.Key is its hash
 	headerTimeout        = "X-Timeout"        // policy.Request.Timeout: "480m" is milliseconds, "250u" microseconds
 	headerCost           = "X-Cost"           // policy.Request.ExpectedWork, in microseconds
 	headerRetried        = "X-Retried"        // policy.Request.ClientRetry, if "1"
-	headerAttributes     = "X-Attrs"          // for servers alone: forwarded, not interpreted
-	headerIdempotencyKey = "Idempotency-Key"  // needed for policy.IdempotentByKey, refused for policy.NonIdempotent
+	headerAttributes     = "X-Attrs"          // for servers only: forwarded, not interpreted
+	headerIdempotencyKey = "Idempotency-Key"  // required for policy.IdempotentByKey, rejected for policy.NonIdempotent
 )
 
-// The response headers of servers that the sidecar interprets.
+// Response headers of servers that the sidecar handles itself.
 const (
-	headerNotProcessed = "X-Not-Processed" // "1" on a 503 or 504: the request has not run
-	headerServerLoad   = "X-Server-Load"   // the server's load report beside its response: not read, and not for the application
+	// headerNotProcessed is "1" on a 503 or 504 if the request has not run.
+	headerNotProcessed = "X-Not-Processed"
+	// headerServerLoad is the server's load report. It is not read, and not forwarded to the application.
+	headerServerLoad = "X-Server-Load"
 )
 
 // Standard headers that the sidecar sets or checks.
@@ -37,25 +39,25 @@
 	headerUserAgent     = "User-Agent"
 )
 
-// flagSet is the value of a header that is a flag.
+// headerFlagTrue is the value of a boolean header that is set.
 const flagSet = "1"
 
-// singleValueHeaders lists the headers that decide how a request is handled. A request that repeats one is
-// rejected: the sidecar and a server could each go by a different value.
+// singleValueHeaders lists the headers that decide how a request is handled. A request that repeats one of
+// them is rejected: the sidecar and a server could each use a different value.
 var singleValueHeaders = []string{
 	headerRequestID, headerPriorityClass, headerTenantID, headerRouteKey, headerTimeout, headerRetried, headerCost,
 	headerAttributes, headerIdempotencyKey, headerContentLength,
 }
 
-// hopByHopHeaders lists the headers that are never forwarded: those that concern one connection only, those
-// that the sidecar writes itself, and the load report, which is for the sidecar.
-var hopByHopHeaders = []string{
+// unforwardedHeaders lists the headers that are never forwarded: the hop-by-hop headers, those that the
+// sidecar writes itself, and the load report, which is meant for the sidecar.
+var unforwardedHeaders = []string{
 	headerConnection, "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	headerContentLength, headerServerLoad,
 }
 
-// connectionOptions are what the Connection headers list: close, keep-alive, and the names of headers of this
-// connection alone.
+// connectionOptions returns the options listed in the Connection headers: close, keep-alive, and the names of
+// headers that apply to this connection only.
 func connectionOptions(h http.Header) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, list := range h[headerConnection] {
@@ -68,8 +70,8 @@
 	}
 }
 
-// endToEnd returns a copy of a message's header without the headers of one connection: the hop-by-hop ones
-// and those that Connection names.
+// endToEndHeaders returns a copy of a message's header without the headers that must not be forwarded: those
+// in unforwardedHeaders and those that Connection names.
 func endToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
@@ -78,11 +80,11 @@
 	for name := range connectionOptions(from) {
 		to.Del(name)
 	}
-	for _, name := range hopByHopHeaders {
+	for _, name := range unforwardedHeaders {
 		delete(to, name)
 	}
 	if to[headerUserAgent] == nil {
-		to[headerUserAgent] = nil // present without a value, so that net/http adds no default
+		to[headerUserAgent] = nil // present without a value, so that net/http does not add its own
 	}
 	return to
 }
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -10,44 +10,52 @@
 )
 
 const (
-	// Clients run on the same machine and send a request at once. These timeouts leave enough for a client
-	// that is short of CPU, and end one that never finishes its request within 3 s of connecting.
-	readHeadTimeout   = 2200 * time.Millisecond // for the head; also for the first byte on a new connection
-	readBodyTimeout   = 2 * time.Second         // for the body, after the head
-	clientIdleTimeout = 2 * time.Minute         // idle connections of clients are closed after this
-	maxHeaderBytes    = 16 << 10
+	// Clients run on the same machine and send each request in one go. The two read timeouts leave enough time
+	// for a client that is short of CPU. A client that connects and stalls, whether in the head or in the body
+	// of its first request, is disconnected within 3 s.
+
+	// readHeadTimeout limits reading a request's head. It also limits the wait for the first byte on a new
+	// connection.
+	readHeadTimeout = 2200 * time.Millisecond
+	// readBodyTimeout limits reading a request's body, counted from the end of its head.
+	readBodyTimeout = 2 * time.Second
+	// clientIdleTimeout is how long a client's connection may be idle before it is closed.
+	clientIdleTimeout = 2 * time.Minute
+	// maxHeaderBytes limits the head of a request.
+	maxHeaderBytes = 16 << 10
 
 	readinessPath = "/up"
 
-	// The Retry-After of a request over a limit is drawn from this range, so that clients which were rejected
-	// together don't all retry together.
-	minRetryAfterSeconds    = 0.5
+	// minRetryAfterSeconds is the shortest Retry-After of a request that was rejected over a limit.
+	minRetryAfterSeconds = 0.5
+	// retryAfterJitterSeconds is the range of the random time that is added to minRetryAfterSeconds, so that
+	// clients rejected at the same moment don't all retry at the same moment.
 	retryAfterJitterSeconds = 1.0
 )
 
-// ingress is the HTTP handler for the application: it validates requests, enforces the limits on what is in
-// flight, hands accepted requests to the event loop and writes their responses. The limits protect this
-// process; package policy decides on everything else.
+// ingress is the HTTP handler for the application: it validates requests, limits the number and size of those
+// in flight, submits accepted requests to the event loop and writes their responses. The limits protect this
+// process; all other decisions are made by package policy.
 type ingress struct {
-	cfg       *Config
-	clock     clock
-	loop      *eventLoop
-	inFlight  atomic.Int64 // requests read in full that have no response yet
-	bodyBytes atomic.Int64 // size of their bodies
-	ready     atomic.Bool  // the answer to a readiness check
-	answerBy  atomic.Int64 // while draining: when responses must be out, in the clock's time; 0 before
+	cfg               *Config
+	clock             clock
+	loop              *eventLoop
+	inFlight          atomic.Int64 // requests that were read in full and have no response yet
+	inFlightBodyBytes atomic.Int64 // total size of the bodies of these requests
+	ready             atomic.Bool  // whether readiness checks are answered with 200
+	drainDeadline     atomic.Int64 // while draining: responses must be written by then, in the clock's time; else 0
 
-	rejectedBodyTimeout time.Duration // how long the rest of a rejected request is read
+	rejectedBodyTimeout time.Duration // how long to read the rest of a rejected request
 
-	mu      sync.Mutex
-	openIDs map[string]bool // ids of the requests that have no response yet
+	mu          sync.Mutex
+	inFlightIDs map[string]bool // X-Request-IDs of the requests that have no response yet
 }
 
 func newIngress(cfg *Config, c clock, l *eventLoop) *ingress {
-	return &ingress{cfg: cfg, clock: c, loop: l, openIDs: make(map[string]bool), rejectedBodyTimeout: rejectedBodyTimeout}
+	return &ingress{cfg: cfg, clock: c, loop: l, inFlightIDs: make(map[string]bool), rejectedBodyTimeout: rejectedBodyTimeout}
 }
 
-// server returns the HTTP server for the application. Its caller starts it and shuts it down.
+// server returns the HTTP server for the application. The caller starts it and shuts it down.
 func (f *ingress) server(a *acceptor) *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -59,22 +67,23 @@
 	}
 }
 
-// ServeHTTP handles one request of the application, or a readiness check.
+// ServeHTTP handles a request of the application or a readiness check.
 func (f *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The client's timeout runs from when it sent the request, so the arrival is taken before the body is read, and
-	// of a request that waited behind another one before its turn came.
+	// The client's timeout starts when the client sends the request. The arrival time is therefore taken before
+	// the body is read. For a pipelined request it is the time at which its bytes were read from the socket, before
+	// it waited for the response to the previous request.
 	arrived := f.clock.now()
-	if c := clientConnOf(r.Context()); c != nil {
+	if c := clientConnFromContext(r.Context()); c != nil {
 		c.expectBody(r.ContentLength)
-		arrived = min(arrived, f.clock.of(c.requestArrived()))
+		arrived = min(arrived, f.clock.of(c.requestArrivalTime()))
 	}
 	if isReadinessCheck(r) {
 		f.writeReadiness(w, r)
 		return
 	}
-	parsed, rejected := f.parseRequest(r)
-	if rejected != nil {
-		f.reject(w, r, rejected)
+	parsed, rejection := f.parseRequest(r)
+	if rejection != nil {
+		f.reject(w, r, rejection)
 		return
 	}
 	id := r.Header.Get(headerRequestID)
@@ -83,12 +92,12 @@
 		return
 	}
 	defer f.releaseID(id)
-	body, rejected := readBody(w, r)
-	if rejected != nil {
-		f.reject(w, r, rejected)
+	body, rejection := readBody(w, r)
+	if rejection != nil {
+		f.reject(w, r, rejection)
 		return
 	}
-	f.enforceLimits(w, r, parsed, body, arrived+parsed.timeout)
+	f.forwardWithinLimits(w, r, parsed, body, arrived+parsed.timeout)
 }
 
 func isReadinessCheck(r *http.Request) bool {
@@ -96,7 +105,7 @@
 	return r.URL.Path == readinessPath && r.Method == http.MethodGet && !hasBody
 }
 
-// writeReadiness answers 200 while the sidecar serves, and 503 before that and while it drains.
+// writeReadiness responds 200 while the sidecar is serving, and 503 before that and while it is draining.
 func (f *ingress) writeReadiness(w http.ResponseWriter, r *http.Request) {
 	f.closeIfDraining(w, r)
 	if !f.ready.Load() {
@@ -104,114 +113,119 @@
 	}
 }
 
-// enforceLimits forwards a request that was read in full, unless it is over a limit.
+// forwardWithinLimits forwards a request that was read in full, or rejects it if a limit is exceeded or its
+// deadline has passed.
 //
-// Requests are counted only from here on. If they counted from their head on, a few clients that announce a
-// body and never send it could use up the limits for all others. Until here the limit on client connections
-// bounds them.
-func (f *ingress) enforceLimits(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
+// A request is counted only once it has been read in full. If it were counted from its head on, a few clients
+// that announce a body and never send it could use up the limits for all others. Until a request is counted,
+// only the limit on client connections applies to it.
+func (f *ingress) forwardWithinLimits(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	size := int64(len(body))
-	inFlight, bodyBytes := f.inFlight.Add(1), f.bodyBytes.Add(size)
+	inFlight, inFlightBodyBytes := f.inFlight.Add(1), f.inFlightBodyBytes.Add(size)
 	defer f.inFlight.Add(-1)
-	defer f.bodyBytes.Add(-size)
+	defer f.inFlightBodyBytes.Add(-size)
 	deadline = f.capDeadline(deadline)
-	if f.overLimit(inFlight, bodyBytes) || deadline <= f.clock.now() {
+	if f.overLimit(inFlight, inFlightBodyBytes) || deadline <= f.clock.now() {
 		f.closeIfDraining(w, r)
-		writeUnavailable(w, f.drawRetryAfter())
+		writeUnavailable(w, f.randomRetryAfter())
 		return
 	}
 	f.forward(w, r, parsed, body, deadline)
 }
 
-// forward hands a request to the event loop and writes the final response, or none if the client has gone
-// before it is there.
+// forward submits a request to the event loop and writes the response. If the client disconnects before there
+// is a response, it closes the connection without one.
 func (f *ingress) forward(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	final := f.awaitResponse(r, parsed, body, deadline)
 	if final == nil {
-		panic(http.ErrAbortHandler) // how a handler has net/http close the connection without a response
+		panic(http.ErrAbortHandler) // makes net/http close the connection without a response
 	}
 	f.closeIfDraining(w, r)
 	final.write(w)
 }
 
-// awaitResponse hands a request to the event loop and returns its response, or nil if the client has gone before.
+// awaitResponse submits a request to the event loop and returns the response, or nil if the client
+// disconnects before there is one.
 func (f *ingress) awaitResponse(r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) *response {
 	client := monitorClient(r.Context())
 	defer client.stop()
 	outbound := newOutboundRequest(r, body, client.clientClosed)
-	reply := make(chan response, 1) // buffered: the event loop never waits for a handler
+	reply := make(chan response, 1) // buffered, so that the event loop never blocks on a handler
 	number := f.loop.submit(parsed.policy, outbound, deadline, reply)
 	select {
 	case final := <-reply:
 		return &final
-	case <-r.Context().Done(): // net/http has seen the client close its connection
-	case <-client.gone: // the monitor has, behind further bytes, where net/http does not look
+	case <-r.Context().Done(): // net/http has noticed that the client disconnected
+	case <-client.disconnected: // the monitor has noticed it, after bytes that net/http does not read
 	}
 	f.loop.clientGone(number)
 	return nil
 }
 
-// capDeadline returns the deadline of a request, earlier if the process may be killed before it: a
-// request that arrives while the sidecar drains must have its response by then.
+// capDeadline returns the deadline of a request. While the sidecar is draining it is at most drainDeadline,
+// as the process may be killed soon after that.
 func (f *ingress) capDeadline(deadline time.Duration) time.Duration {
-	if answerBy := time.Duration(f.answerBy.Load()); answerBy != 0 {
-		return min(deadline, answerBy)
+	if drainDeadline := time.Duration(f.drainDeadline.Load()); drainDeadline != 0 {
+		return min(deadline, drainDeadline)
 	}
 	return deadline
 }
 
-// overLimit reports whether the requests in flight, with the one at hand, or their bodies are too many.
-func (f *ingress) overLimit(inFlight, bodyBytes int64) bool {
+// overLimit reports whether the requests in flight, including the current one, or their bodies exceed a
+// limit.
+func (f *ingress) overLimit(inFlight, inFlightBodyBytes int64) bool {
 	if f.cfg.MaxInFlight > 0 && inFlight > int64(f.cfg.MaxInFlight) {
 		return true
 	}
-	return bodyBytes > f.cfg.maxBodyBytes()
+	return inFlightBodyBytes > f.cfg.maxBodyBytes()
 }
 
-func (f *ingress) drawRetryAfter() time.Duration {
+// randomRetryAfter returns a random Retry-After, at most the configured maximum.
+func (f *ingress) randomRetryAfter() time.Duration {
 	seconds := minRetryAfterSeconds + retryAfterJitterSeconds*rand.Float64()
 	return min(time.Duration(float64(time.Second)*seconds), f.cfg.Policy.MaxRetryAfter)
 }
 
-// closeIfDraining has a connection close after the response that is about to be written, while draining. Where the
-// client has sent more behind that request, the connection closes after the last response instead: what has been read
-// of it would be lost.
+// closeIfDraining makes net/http close the connection after the response that is about to be written, if the
+// sidecar is draining. If the client has already sent more after this request, the connection stays open
+// until the last response: closing it now would lose the part of the next request that has been read.
 func (f *ingress) closeIfDraining(w http.ResponseWriter, r *http.Request) {
-	if f.answerBy.Load() == 0 {
+	if f.drainDeadline.Load() == 0 {
 		return
 	}
-	if c := clientConnOf(r.Context()); c != nil && c.hasNextRequest() {
+	if c := clientConnFromContext(r.Context()); c != nil && c.hasNextRequest() {
 		return
 	}
 	w.Header().Set(headerConnection, "close")
 }
 
-// reserveID enters a request's id, or returns false if a request with this id is in flight: servers would
-// take the second for a repeat of the first and drop it.
+// reserveID records the X-Request-ID of a request in flight. It returns false if a request with this ID is
+// already in flight: servers would take the second request for a duplicate of the first and drop it.
 func (f *ingress) reserveID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.openIDs[id] {
+	if f.inFlightIDs[id] {
 		return false
 	}
-	f.openIDs[id] = true
+	f.inFlightIDs[id] = true
 	return true
 }
 
 func (f *ingress) releaseID(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.openIDs, id)
+	delete(f.inFlightIDs, id)
 }
 
-// readBody reads a body of the announced length within readBodyTimeout: a client that announces more than it
-// sends must not occupy memory and a connection indefinitely. io.ReadAll allocates only for what arrives.
+// readBody reads a body of the announced length within readBodyTimeout, so that a client that announces more
+// than it sends does not hold memory and a connection indefinitely. io.ReadAll allocates memory only for
+// bytes that arrive.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *rejectionError) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection, as the read does
+	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection, as the read then does
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, reject(http.StatusRequestTimeout, "the body is shorter than Content-Length")
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -219,9 +219,9 @@
 		t.Fatal(err)
 	}
 	acceptClient(t, a)
-	if active.closed || !idle.closed || a.open != 2 {
+	if active.closed || !idle.closed || a.openConns != 2 {
 		t.Errorf("active connection closed: %v, idle connection closed: %v, %d open; want false, true, 2",
-			active.closed, idle.closed, a.open)
+			active.closed, idle.closed, a.openConns)
 	}
 }
 
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	listenTimeout       = 8 * time.Second // a restarted sidecar is to be ready within 10 s
+	// listenTimeout limits the wait for an address in use. A restarted sidecar must be ready within 10 s.
+	listenTimeout = 8 * time.Second
+	// listenRetryInterval is the time between two attempts to listen.
 	listenRetryInterval = 20 * time.Millisecond
 )
 
-// listen opens a TCP listener. While the address is in use it tries again, until listenTimeout or ctx ends: after a
-// restart the process before this one may still be exiting.
+// listen opens a TCP listener. While the address is in use it retries until listenTimeout has passed or ctx
+// is done: after a restart the previous process may still be exiting.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if !errors.Is(err, syscall.EADDRINUSE) {
 		return listener, err
 	}
-	slog.Warn("the address to listen on is in use, it is waited for", "listen", address)
+	slog.Warn("listen address is in use, retrying", "listen", address)
 	timeout := time.NewTimer(listenTimeout)
 	defer timeout.Stop()
 	retry := time.NewTicker(listenRetryInterval)
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -15,13 +15,15 @@
 )
 
 const (
-	maxTimeout          = time.Hour // longer durations are cut to this
-	maxDeadlineMultiple = 10        // a timeout of more than this many deadlines of its class is rejected
+	// maxTimeout is the longest duration that parseTimeout returns; longer ones are reduced to it.
+	maxTimeout = time.Hour
+	// maxDeadlineMultiple limits a client's timeout, as a multiple of the deadline of the request's class.
+	maxDeadlineMultiple = 10
 )
 
-// rejectionError is why a request is not accepted. It is the response for its client; neither package policy
-// nor a server gets to know of the request. Functions return it as this type and not as error, as every
-// rejection has a status.
+// rejectionError is the reason why a request is not accepted, and the response to its client. A rejected
+// request reaches neither package policy nor a server. Functions return this type rather than error because
+// every rejection has a status.
 type rejectionError struct {
 	status int
 	reason string
@@ -35,56 +37,56 @@
 	return &rejectionError{status: status, reason: reason}
 }
 
-// parsedRequest is what the headers of a valid request say.
+// parsedRequest holds the values of the headers of a valid request.
 type parsedRequest struct {
-	policy  policy.Request // ID and Timeout are set when the event loop accepts it
-	timeout time.Duration  // the client's, from the arrival of the request's head
+	policy  policy.Request // ID and Timeout are set when the event loop accepts the request
+	timeout time.Duration  // the client's timeout, from the arrival of the request's head
 }
 
 // parseRequest validates a request and maps its headers to policy.Request. Nothing invalid may reach package
-// policy or a server: a server would answer 400, which would count as a failure of that server.
+// policy or a server: a server would respond 400, which would count as a failure of that server.
 //
-// The order of the checks decides which status and reason a request with several faults gets.
-func (f *ingress) parseRequest(r *http.Request) (parsed parsedRequest, rejected *rejectionError) {
-	if rejected = checkFraming(r); rejected != nil {
-		return parsed, rejected
+// The order of the checks determines the status and reason of a request that is invalid in several ways.
+func (f *ingress) parseRequest(r *http.Request) (parsed parsedRequest, rejection *rejectionError) {
+	if rejection = checkFraming(r); rejection != nil {
+		return parsed, rejection
 	}
-	if rejected = checkIdentity(r.Header); rejected != nil {
-		return parsed, rejected
+	if rejection = checkSingleValues(r.Header); rejection != nil {
+		return parsed, rejection
 	}
-	if rejected = checkConnection(r.Header); rejected != nil {
-		return parsed, rejected
+	if rejection = checkConnection(r.Header); rejection != nil {
+		return parsed, rejection
 	}
-	if parsed.policy.Class, rejected = f.parseClass(r); rejected != nil {
-		return parsed, rejected
+	if parsed.policy.Class, rejection = f.parseClass(r); rejection != nil {
+		return parsed, rejection
 	}
 	class := &f.cfg.Policy.Classes[parsed.policy.Class]
-	if rejected = checkMethod(r, class); rejected != nil {
-		return parsed, rejected
+	if rejection = checkMethod(r, class); rejection != nil {
+		return parsed, rejection
 	}
-	if rejected = checkIdempotency(r, class); rejected != nil {
-		return parsed, rejected
+	if rejection = checkIdempotency(r, class); rejection != nil {
+		return parsed, rejection
 	}
-	if parsed.policy.Tenant, rejected = f.parseTenant(r.Header); rejected != nil {
-		return parsed, rejected
+	if parsed.policy.Tenant, rejection = f.parseTenant(r.Header); rejection != nil {
+		return parsed, rejection
 	}
-	if parsed.timeout, rejected = parseClientTimeout(r.Header, class); rejected != nil {
-		return parsed, rejected
+	if parsed.timeout, rejection = parseClientTimeout(r.Header, class); rejection != nil {
+		return parsed, rejection
 	}
-	if parsed.policy.ExpectedWork, rejected = parseCost(r.Header); rejected != nil {
-		return parsed, rejected
+	if parsed.policy.ExpectedWork, rejection = parseCost(r.Header); rejection != nil {
+		return parsed, rejection
 	}
 	parsed.policy.Key = hashRouteKey(r.Header)
 	parsed.policy.ClientRetry = r.Header.Get(headerRetried) == flagSet
 	return parsed, nil
 }
 
-// checkFraming rejects requests whose end or target is in doubt.
+// checkFraming rejects requests whose length or target is ambiguous.
 //
-// It guards against request smuggling: a request with both Content-Length and Transfer-Encoding can hide a
-// second request in its body, from whoever goes by the other header. net/http has dropped the Content-Length
-// of such a request already, so Transfer-Encoding alone is rejected. With HTTP/1.0, net/http ignores
-// Transfer-Encoding, so that version is rejected as a whole.
+// It guards against request smuggling: the body of a request with both Content-Length and Transfer-Encoding
+// can hide a second request from a recipient that uses the other of the two headers. net/http removes the
+// Content-Length of such a request, so every request with Transfer-Encoding is rejected. net/http ignores
+// Transfer-Encoding in HTTP/1.0, so that version is rejected altogether.
 func checkFraming(r *http.Request) *rejectionError {
 	if len(r.TransferEncoding) > 0 {
 		return reject(http.StatusLengthRequired, "Transfer-Encoding is not taken, send Content-Length")
@@ -98,8 +100,9 @@
 	return nil
 }
 
-// checkIdentity rejects requests with no id, or with several values where only one can count.
-func checkIdentity(h http.Header) *rejectionError {
+// checkSingleValues rejects requests that repeat a header of singleValueHeaders, and requests without an
+// X-Request-ID.
+func checkSingleValues(h http.Header) *rejectionError {
 	for _, name := range singleValueHeaders {
 		if len(h[name]) > 1 {
 			return reject(http.StatusBadRequest, name+" is given twice")
@@ -111,9 +114,9 @@
 	return nil
 }
 
-// checkConnection rejects requests that name a header which decides how they are handled as one of the connection.
-// Such headers are dropped on the way: the server would get the request without its id, or without its idempotency
-// key, and could run it twice.
+// checkConnection rejects requests whose Connection header names a header that decides how the request is
+// handled. Headers named there are not forwarded: the server would get the request without its ID or its
+// idempotency key, and could run it twice.
 func checkConnection(h http.Header) *rejectionError {
 	for name := range connectionOptions(h) {
 		if slices.Contains(singleValueHeaders, http.CanonicalHeaderKey(name)) {
@@ -123,22 +126,23 @@
 	return nil
 }
 
-// parseClass returns the number of the request's class, which the header names and the path begins with.
+// parseClass returns the index of the request's class, which both X-Priority-Class and the first path segment
+// must name.
 func (f *ingress) parseClass(r *http.Request) (int, *rejectionError) {
 	name := r.Header.Get(headerPriorityClass)
 	class, ok := f.cfg.Classes[name]
 	if !ok {
 		return 0, reject(http.StatusBadRequest, "X-Priority-Class names no class")
 	}
-	if rejected := checkPath(r, name); rejected != nil {
-		return 0, rejected
+	if rejection := checkPath(r, name); rejection != nil {
+		return 0, rejection
 	}
 	return class, nil
 }
 
-// checkPath rejects a path whose first segment does not name the class, or may not for a server: the path is
-// forwarded as it is. An encoded slash ends no segment here, but may for a server that decodes the path first;
-// dot segments may be resolved to the path of another class.
+// checkPath rejects a path whose first segment does not name the class, or that a server may interpret as a
+// path of another class. The path is forwarded unchanged. An encoded slash does not end a segment here, but
+// may do so at a server that decodes the path first; dot segments may resolve to the path of another class.
 func checkPath(r *http.Request, class string) *rejectionError {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -153,7 +157,7 @@
 	return nil
 }
 
-// methodFor is the method that requests of each idempotency must have.
+// methodFor maps each idempotency to the method that its requests must have.
 var methodFor = map[policy.Idempotency]string{
 	policy.Idempotent:      http.MethodGet,
 	policy.IdempotentByKey: http.MethodPost,
@@ -167,7 +171,8 @@
 	return nil
 }
 
-// checkIdempotency rejects requests whose idempotency key or body does not fit their class.
+// checkIdempotency rejects requests whose idempotency key or body does not match the idempotency of their
+// class, and bodies over maxBodyBytes.
 func checkIdempotency(r *http.Request, class *policy.Class) *rejectionError {
 	key := r.Header.Get(headerIdempotencyKey)
 	switch {
@@ -185,7 +190,7 @@
 	return nil
 }
 
-// parseTenant returns the number of the request's tenant; 0 where none are configured.
+// parseTenant returns the index of the request's tenant, or 0 if no tenants are configured.
 func (f *ingress) parseTenant(h http.Header) (int, *rejectionError) {
 	if len(f.cfg.Tenants) == 0 {
 		return 0, nil
@@ -205,7 +210,7 @@
 	return timeout, nil
 }
 
-// parseCost returns the expected work of a request; 0 where it is not known.
+// parseCost returns the expected work of a request, or 0 if the client does not state it.
 func parseCost(h http.Header) (time.Duration, *rejectionError) {
 	cost := h.Get(headerCost)
 	if cost == "" {
@@ -218,7 +223,7 @@
 	return work, nil
 }
 
-// hashRouteKey returns the number that stands for a request's route key; 0 where it has none.
+// hashRouteKey returns the hash of a request's route key, or 0 if it has none.
 func hashRouteKey(h http.Header) uint64 {
 	key := h.Get(headerRouteKey)
 	if key == "" {
@@ -229,7 +234,7 @@
 	return hash.Sum64()
 }
 
-// parseTimeout reads a duration: a decimal number with the unit m (milliseconds) or u (microseconds).
+// parseTimeout parses a duration: a decimal number with the unit m (milliseconds) or u (microseconds).
 func parseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/sidecar/parse_test.go
+++ b/internal/sidecar/parse_test.go
@@ -138,7 +138,7 @@
 
 // What Connection names is dropped on the way to a server. A request arrived there without its id, or a keyed one
 // without its key.
-func TestConnectionNamesNoHeaderForServers(t *testing.T) {
+func TestConnectionHeaderNamingForwardedHeaderIsRejected(t *testing.T) {
 	for connection, valid := range map[string]bool{
 		"close": true, "keep-alive": true, "keep-alive, X-Own": true, "": true, "Upgrade": true,
 		"X-Request-ID": false, "x-request-id": false, "keep-alive, X-Request-Id": false, "close , Idempotency-Key": false,
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -80,7 +80,7 @@
 
 // A request waits behind another one on its connection. Its time runs from when it came, not from when its turn comes:
 // a server was told of more time than the client had left, and requests whose time was over were sent on.
-func TestTimeOfPipelinedRequestRunsFromItsArrival(t *testing.T) {
+func TestTimeoutOfPipelinedRequestRunsFromArrival(t *testing.T) {
 	const waited = 100 * time.Millisecond // at least, behind the first
 	withTimeout := func(id, timeout string) string {
 		return strings.Replace(rawRequest(id), "20000m", timeout, 1)
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -35,7 +35,7 @@
 }
 
 // expectResponse reads a response to its end.
-func expectResponse(t *testing.T, r *bufio.Reader, status int) {
+func expectRejection(t *testing.T, r *bufio.Reader, status int) {
 	t.Helper()
 	if res := readWholeResponse(t, r); res.StatusCode != status || !res.Close {
 		t.Errorf("%s, closes: %v, want %d and a close", res.Status, res.Close, status)
@@ -67,7 +67,7 @@
 				head := strings.Replace(c.head, "\r\n", "\r\nConnection: "+connection+"\r\n", 1)
 				client := sendOnNewConn(t, serveRejections(t, 10), head+c.first)
 				r := bufio.NewReader(client)
-				expectResponse(t, r, c.status)
+				expectRejection(t, r, c.status)
 				write(t, client, c.second)
 				if n, err := r.Read(make([]byte, 1)); err != io.EOF {
 					t.Errorf("read %d bytes, error %v behind the response, want a close", n, err)
@@ -79,7 +79,7 @@
 
 // What the client has sent is too much to be read, or it is nothing that could be read to its end. A close would reset
 // the connection over it; the client must read the response and the end of the connection before that.
-func TestResponseOutlivesUnreadBytes(t *testing.T) {
+func TestResponseIsReadableDespiteUnreadBytes(t *testing.T) {
 	const size = 4 * maxDroppedBodyBytes
 	for name, c := range map[string]struct {
 		sent   string
@@ -100,7 +100,7 @@
 				written <- err
 			}()
 			r := bufio.NewReader(client)
-			expectResponse(t, r, c.status)
+			expectRejection(t, r, c.status)
 			if n, err := r.Read(make([]byte, 1)); err != io.EOF {
 				t.Errorf("read %d bytes, error %v behind the response, want the end of the connection", n, err)
 			}
@@ -112,11 +112,11 @@
 
 // Connections that are closed for good once their clients had time to read the last response must not keep new clients
 // out.
-func TestClosingConnectionsMakeRoomForNewOnes(t *testing.T) {
+func TestClosingConnectionsAreClosedForNewClients(t *testing.T) {
 	address := serveRejections(t, 1)
 	for range 3 {
 		client := sendOnNewConn(t, address, requestHead("POST", "entry", fmt.Sprintf("Content-Length: %d", 4*maxDroppedBodyBytes)))
-		expectResponse(t, bufio.NewReader(client), http.StatusRequestEntityTooLarge)
+		expectRejection(t, bufio.NewReader(client), http.StatusRequestEntityTooLarge)
 		written := make(chan error, 1)
 		go func() {
 			_, err := io.WriteString(client, strings.Repeat("x", 4*maxDroppedBodyBytes))
--- a/internal/sidecar/requestboundary.go
+++ b/internal/sidecar/requestboundary.go
@@ -1,21 +1,23 @@
 package sidecar
 
-// requestBoundary follows where requests end in the bytes of a connection, so that net/http is handed none of the next
-// request together with one. What net/http has buffered can't be seen from outside; what is still here can: it tells
-// whether a connection may be closed after a response.
+// requestBoundary tracks where requests end in the byte stream of a connection, so that clientConn.Read never
+// returns bytes of two requests at once. Bytes that net/http has buffered can't be inspected; bytes that
+// clientConn still holds can. While draining they decide whether the connection may be closed after a
+// response.
 //
-// It need not be exact: bytes that are held back are handed over with the next read.
+// The boundaries need not be exact: bytes that are held back are returned by the next read.
 type requestBoundary struct {
-	lineLength    int   // bytes of the present line of a head, without its line break
-	inHead        bool  // a line of the present head has ended
-	bodyRemaining int64 // bytes of the present body that are still to come
+	lineLength    int   // bytes in the current line of a head, without its line break
+	inHead        bool  // at least one line of the current head is complete
+	bodyRemaining int64 // bytes of the current body that have not arrived yet
 }
 
-// expectBody is called with the length of the body behind the head that has ended last.
+// expectBody sets the length of the body that follows the head that ended last.
 func (b *requestBoundary) expectBody(length int64) { b.bodyRemaining = length }
 
-// take returns how many of the bytes belong to the present request, at least one where there are any, and counts those.
-func (b *requestBoundary) take(p []byte) int {
+// consume returns how many bytes of p belong to the current request, and advances past them. It returns at
+// least 1 unless p is empty.
+func (b *requestBoundary) consume(p []byte) int {
 	if b.bodyRemaining > 0 {
 		n := int(min(b.bodyRemaining, int64(len(p))))
 		b.bodyRemaining -= int64(n)
--- a/internal/sidecar/requestboundary_test.go
+++ b/internal/sidecar/requestboundary_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for chunk := 1; chunk <= len(c.text); chunk++ {
-				if got := takeRequests(c.text, chunk, c.body); !slices.Equal(got, c.want) {
+				if got := splitRequests(c.text, chunk, c.body); !slices.Equal(got, c.want) {
 					t.Fatalf("read %d bytes at a time: %q, want %q", chunk, got, c.want)
 				}
 			}
@@ -34,12 +34,12 @@
 }
 
 // takeRequests passes a text in chunks, and returns it divided where a boundary was found, and the rest.
-func takeRequests(text string, chunk int, body int64) (parts []string) {
+func splitRequests(text string, chunk int, body int64) (parts []string) {
 	var b requestBoundary
 	var part strings.Builder
 	for len(text) > 0 {
 		held := b.bodyRemaining
-		n := b.take([]byte(text[:min(chunk, len(text))]))
+		n := b.consume([]byte(text[:min(chunk, len(text))]))
 		part.WriteString(text[:n])
 		endsLine := text[n-1] == '\n'
 		text = text[n:]
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -9,34 +9,38 @@
 )
 
 const (
-	// New connections may still come for so long after SIGTERM, also where none is open at that moment.
+	// minDrainTime is how long new connections are accepted after SIGTERM, even if none is open at that time.
 	minDrainTime = 500 * time.Millisecond
 
-	// The platform may send SIGKILL once killDelay and the longest deadline, of which at most maxKillDeadline counts,
-	// have passed since SIGTERM. Responses are to be out killMargin before that.
+	// The platform may send SIGKILL after the longest deadline of the classes, limited to maxKillDeadline, plus
+	// killDelay, counted from SIGTERM.
+
+	// maxKillDeadline limits the part of that time that the longest deadline contributes.
 	maxKillDeadline = 3 * time.Second
-	killDelay       = 700 * time.Millisecond
-	killMargin      = 100 * time.Millisecond
+	// killDelay is the fixed part of that time.
+	killDelay = 700 * time.Millisecond
+	// killMargin is how long before a possible SIGKILL all responses must be written.
+	killMargin = 100 * time.Millisecond
 
-	// Where no SIGKILL comes, idle connections are closed so long after it could have come: no client is expected to
-	// use them by then.
+	// maxIdleDrainTime is how long after the earliest possible SIGKILL the remaining idle connections are
+	// closed, if no SIGKILL was sent. No client is expected to use them any more by then.
 	maxIdleDrainTime = 10 * time.Second
 )
 
-// drain shuts the service down gracefully, without losing a request. It returns once every connection has closed, or
-// maxIdleDrainTime after SIGKILL could have come.
+// drain shuts the service down gracefully, without losing a request. It returns once every connection has
+// closed, or maxIdleDrainTime after SIGKILL could have been sent.
 //
-// It guards against a close that crosses a request: clients send on a connection for as long as it is open, and a
-// request that arrives after the close is lost, with nobody listening any more to whom the client could send it
-// again. So no connection is closed while it waits for a request: each is closed with its next response (see
-// closeIfDraining), and new ones are accepted all the while. A client that keeps an idle connection delays the end,
-// which does no harm, as SIGKILL comes first.
+// It guards against a close that coincides with a request: clients send requests on a connection as long as
+// it is open, and a request that arrives after the close is lost, because no process is listening any more to
+// which the client could send it again. Therefore no connection is closed while it waits for a request. Each
+// is closed with its next response (see closeIfDraining), and new connections are accepted throughout. A
+// client that keeps an idle connection open delays the exit, which does no harm because SIGKILL comes first.
 func (f *ingress) drain(clients *acceptor, server *http.Server, maxDeadline time.Duration) error {
 	slog.Info("draining", "requests_in_flight", f.inFlight.Load())
-	untilKill := min(maxDeadline, maxKillDeadline) + killDelay
-	f.answerBy.Store(int64(f.clock.now() + untilKill - killMargin))
+	timeUntilKill := min(maxDeadline, maxKillDeadline) + killDelay
+	f.drainDeadline.Store(int64(f.clock.now() + timeUntilKill - killMargin))
 	f.ready.Store(false)
-	idleLimit := time.NewTimer(untilKill + maxIdleDrainTime)
+	idleLimit := time.NewTimer(timeUntilKill + maxIdleDrainTime)
 	defer idleLimit.Stop()
 	<-time.After(minDrainTime)
 	select {
@@ -46,14 +50,14 @@
 	return f.shutdown(server, maxDeadline)
 }
 
-// shutdown closes the listener and waits until no request is open, at most for a deadline.
+// shutdown closes the listener and waits for the requests in flight, for at most maxDeadline.
 func (f *ingress) shutdown(server *http.Server, maxDeadline time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
 	err := server.Shutdown(ctx)
 	slog.Info("stopped", "requests_in_flight", f.inFlight.Load())
 	if errors.Is(err, context.DeadlineExceeded) && f.inFlight.Load() == 0 {
-		return nil // what remains are connections on which no request came
+		return nil // only connections without a request remain
 	}
 	return err
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -58,19 +58,19 @@
 
 // A request that comes after SIGTERM and meets a server that hangs would still be open at SIGKILL. It gets its
 // response before that may come; one that comes when it may come at any moment is rejected at once and never sent.
-func TestResponseBeforeKill(t *testing.T) {
+func TestDrainDeadlineCapsRequestDeadlines(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
 	f, address := serveClients(t, l)
-	f.answerBy.Store(int64(l.clock.now() + generous/2))
+	f.drainDeadline.Store(int64(l.clock.now() + generous/2))
 	sendOnNewConn(t, address, rawRequest("in time"))
 	l.runNextEvent(t)
 	for _, r := range l.requests {
-		if r.deadline != time.Duration(f.answerBy.Load()) {
-			t.Errorf("its deadline is %v, want %v", r.deadline, time.Duration(f.answerBy.Load()))
+		if r.deadline != time.Duration(f.drainDeadline.Load()) {
+			t.Errorf("its deadline is %v, want %v", r.deadline, time.Duration(f.drainDeadline.Load()))
 		}
 	}
-	f.answerBy.Store(1)
+	f.drainDeadline.Store(1)
 	c := sendOnNewConn(t, address, rawRequest("late"))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close || res.Header.Get("Retry-After") == "" {
