--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -11,20 +11,21 @@
 	"time"
 )
 
-// serveClients serves clients on loopback for a loop whose goroutine is the test itself.
-func serveClients(t *testing.T, l *eventLoop) (f *ingress, address string) {
+// serveClients runs an HTTP server on loopback for an event loop that the test itself runs, and returns its
+// handler and address.
+func serveClients(t *testing.T, l *eventLoop) (handler *ingress, address string) {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready"), nil)
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = newIngress(cfg, l.clock, l)
+	handler = newIngress(cfg, l.clock, l)
 	a := newAcceptor(listener, cfg.maxClientConns())
-	server := f.server(a)
+	server := handler.server(a)
 	go func() { _ = server.Serve(a) }() // ends with the test
 	t.Cleanup(func() { server.Close() })
-	return f, listener.Addr().String()
+	return handler, listener.Addr().String()
 }
 
 // sendOnNewConn opens a connection and sends text on it, usually a request.
@@ -42,7 +43,7 @@
 	return c.(*net.TCPConn)
 }
 
-// readWholeResponse reads a response to its end.
+// readWholeResponse reads a response including its body.
 func readWholeResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	res, err := http.ReadResponse(r, nil)
@@ -62,26 +63,28 @@
 	}
 }
 
-// rawRequest is a valid idempotent request as a client writes it.
+// rawRequest returns a valid idempotent request in the form in which it is sent.
 func rawRequest(id string) string {
 	return fmt.Sprintf("GET /look HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\n"+
 		"X-Tenant-Id: north\r\nX-Timeout: 20000m\r\n\r\n", id)
 }
 
-// disconnects are the ways in which a client may disconnect. Each returns once the close is on its way.
+// disconnects are the ways in which a client may disconnect. Each function returns once the disconnect has
+// been sent.
 var disconnects = map[string]func(t *testing.T, c *net.TCPConn){
 	"close":                       func(_ *testing.T, c *net.TCPConn) { c.Close() },
 	"reset":                       reset,
-	"close behind a request":      behindRequest(func(_ *testing.T, c *net.TCPConn) { c.Close() }),
-	"half close behind a request": behindRequest(halfClose),
-	"reset behind a request":      behindRequest(reset),
+	"close behind a request":      afterPipelinedRequest(func(_ *testing.T, c *net.TCPConn) { c.Close() }),
+	"half close behind a request": afterPipelinedRequest(halfClose),
+	"reset behind a request":      afterPipelinedRequest(reset),
 	"more than may be buffered": func(t *testing.T, c *net.TCPConn) {
 		write(t, c, strings.Repeat("x", maxBufferedBytes+1+monitorReadBytes))
 	},
 }
 
-// behindRequest has a client send another request before it disconnects: net/http alone would not notice.
-func behindRequest(disconnect func(*testing.T, *net.TCPConn)) func(*testing.T, *net.TCPConn) {
+// afterPipelinedRequest makes a client send another request before it disconnects. net/http alone would not notice
+// the disconnect.
+func afterPipelinedRequest(disconnect func(*testing.T, *net.TCPConn)) func(*testing.T, *net.TCPConn) {
 	return func(t *testing.T, c *net.TCPConn) {
 		write(t, c, rawRequest("behind"))
 		disconnect(t, c)
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -225,7 +225,7 @@
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection, as the read then does
+	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, reject(http.StatusRequestTimeout, "the body is shorter than Content-Length")
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// address is where the sidecar listens.
+// address returns the address that the sidecar listens on.
 func (s *running) address() string { return strings.TrimPrefix(s.url, "http://") }
 
-// dial opens a connection to the sidecar, which closes with the test.
+// dial opens a connection to the sidecar and closes it at the end of the test.
 func (s *running) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address())
@@ -28,12 +28,12 @@
 	return c
 }
 
-// setLimit edits one of the limits in the settings of a sidecar.
+// setLimit returns an edit of one of the limits in the settings of a sidecar.
 func setLimit(name string, value any) func(file, settings map[string]any) {
 	return func(_, settings map[string]any) { settings["caps"].(map[string]any)[name] = value }
 }
 
-// echoAfter answers as echo does; the request with an id only once release is closed.
+// echoAfter responds like echo, but to the request with the given ID only after release is closed.
 func echoAfter(release <-chan struct{}, id string) func(net.Conn, received) bool {
 	return func(c net.Conn, r received) bool {
 		if r.Header.Get("X-Request-ID") == id {
@@ -43,7 +43,7 @@
 	}
 }
 
-// respond500 answers that the request has failed, and may have run.
+// respond500 responds that the request has failed and may have run.
 func respond500(c net.Conn, _ received) bool {
 	_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
@@ -52,11 +52,12 @@
 func TestReadinessCheck(t *testing.T) {
 	side := start(t, nil)
 	if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
-		t.Errorf("%s, want 200", res.Status)
+		t.Errorf("GET /up: status %s, want 200", res.Status)
 	}
 }
 
-// A request and its response pass through unchanged, but for the headers that concern one connection only.
+// A request and its response are forwarded unchanged, except for the headers that concern one connection only
+// and the server's load report.
 func TestRequestIsForwardedAndAnswered(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
@@ -67,35 +68,35 @@
 	const uri, body = "/reading/hive%2F7?scale=a%20b&x", "41.5 kg"
 	res, resBody := do(t, side.request(t, "POST", uri, body, "Idempotency-Key", "k1", "Connection", "X-Hop", "X-Hop", "1"))
 	if res.StatusCode != http.StatusOK || resBody != body || res.Header.Get("Content-Type") != "text/hive" {
-		t.Fatalf("%s, body %q, headers %v", res.Status, resBody, res.Header)
+		t.Fatalf("response: status %s, body %q, headers %v", res.Status, resBody, res.Header)
 	}
 	got := wait(t, "the request", s.seen)
 	if got.Method != "POST" || got.uri != uri || got.body != body {
-		t.Errorf("the server got %s %s %q", got.Method, got.uri, got.body)
+		t.Errorf("server received %s %s with body %q", got.Method, got.uri, got.body)
 	}
 	if got.Header.Get("X-Request-ID") != "r1" || got.Header.Get("Idempotency-Key") != "k1" {
-		t.Errorf("the server got headers %v", got.Header)
+		t.Errorf("server received headers %v", got.Header)
 	}
 	if got.Header.Get("X-Hop") != "" || res.Header.Get("X-Server-Load") != "" {
-		t.Errorf("hop-by-hop headers were forwarded: %v, %v", got.Header, res.Header)
+		t.Errorf("X-Hop or X-Server-Load was forwarded: request headers %v, response headers %v", got.Header, res.Header)
 	}
 }
 
-// A non-idempotent request has failed at a server, where it may have run. The client gets an error, and nobody
-// sends the request again.
+// A non-idempotent request fails at a server, where it may have run. The client must get an error, and the
+// sidecar must not send the request again, as it could run twice.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := newStub(t, respond500)
 	side := start(t, nil, s.address)
 	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusBadGateway {
-		t.Errorf("%s, want 502", res.Status)
+		t.Errorf("status %s, want 502", res.Status)
 	}
 	if len(s.seen) != 1 {
-		t.Errorf("%d attempts, want 1", len(s.seen))
+		t.Errorf("server received %d attempts, want 1", len(s.seen))
 	}
 }
 
-// No server is known. Requests wait for one as long as their timeout and the queue allow, and are rejected
-// then. The response says when to retry, in decimal seconds.
+// No server is known. Requests wait for one as long as their timeout and the queue allow, and are then
+// rejected. The response must state when to retry, in decimal seconds.
 func TestRejectedRequestsGetRetryAfter(t *testing.T) {
 	side := start(t, nil)
 	const requests = 50
@@ -120,13 +121,13 @@
 		after := got.res.Header.Get("Retry-After")
 		pause, err := strconv.ParseFloat(after, 64)
 		if err != nil || pause <= 0 || pause > 1.2 || got.res.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("%s, Retry-After %q, want 503 and at most 1.2 s", got.res.Status, after)
+			t.Errorf("status %s, Retry-After %q, want 503 and a value above 0 and at most 1.2 s", got.res.Status, after)
 		}
 	}
 }
 
-// A client uses the id of a request that is in flight: servers would take its request for a repeat of the
-// first and drop it. It is rejected. Once the first has its response the id may be used again.
+// Servers would take a request with the ID of a request in flight for a duplicate and drop it, so the sidecar
+// must reject it. Once the first request has its response the ID may be used again.
 func TestDuplicateRequestIDIsRejectedWhileInFlight(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "r1"))
@@ -139,23 +140,24 @@
 	}()
 	wait(t, "the first request", s.seen)
 	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusConflict || !res.Close {
-		t.Errorf("%s, want 409 and a close", res.Status)
+		t.Errorf("request with an ID in flight: status %s, want 409 and Connection: close", res.Status)
 	}
 	close(release)
 	if status := wait(t, "the first response", answered); status != http.StatusOK {
-		t.Errorf("the first request: %d", status)
+		t.Errorf("first request: status %d, want 200", status)
 	}
-	for end := time.Now().Add(generous); ; time.Sleep(time.Millisecond) { // the id is released just after the response
+	// The ID is released shortly after the response has been written.
+	for end := time.Now().Add(generous); ; time.Sleep(time.Millisecond) {
 		if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
 			return
 		} else if time.Now().After(end) {
-			t.Fatalf("%s after the end of the first", res.Status)
+			t.Fatalf("request with the ID of a finished request: status %s, want 200", res.Status)
 		}
 	}
 }
 
-// Clients connect and send nothing, more of them than there may be connections. The connection that has been
-// without a request for longest is closed for a new one, and one with a request never is.
+// More clients connect than the limit allows, and send nothing. To admit a new connection, the one that has
+// been idle longest must be closed, and never one with a request in flight.
 func TestIdleClientConnectionsAreClosedAtTheLimit(t *testing.T) {
 	const idleClients = 40
 	release := make(chan struct{})
@@ -176,17 +178,18 @@
 		}()
 	}
 	if res, body := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK || body != "done r1" {
-		t.Errorf("%s %q among idle connections, want 200", res.Status, body)
+		t.Errorf("request beside idle connections: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
 	wait(t, "an idle connection to close", closed)
 
 	close(release)
 	if res, err := http.ReadResponse(bufio.NewReader(active), nil); err != nil || res.StatusCode != http.StatusOK {
-		t.Errorf("the slow request: %v, error %v, want 200", res, err)
+		t.Errorf("slow request: response %v, error %v, want 200", res, err)
 	}
 }
 
-// acceptClient connects a client and has the acceptor accept it.
+// acceptClient connects a client and returns both ends of the connection, as the client and the acceptor see
+// it.
 func acceptClient(t *testing.T, a *acceptor) (client net.Conn, accepted *clientConn) {
 	t.Helper()
 	client, err := net.Dial("tcp", a.Addr().String())
@@ -201,8 +204,8 @@
 	return client, c.(*clientConn)
 }
 
-// A client connects at the limit. An idle connection is closed for it, and not one whose request has just
-// been read.
+// A client connects at the limit. The acceptor must close an idle connection to admit it, not one whose
+// request has just been read.
 func TestAcceptorClosesOnlyIdleConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -225,8 +228,9 @@
 	}
 }
 
-// failingServer fails in another way for each remainder of a request's id by 5, and answers for 4; for 0 it
-// rejects on every other connection. It counts in runs the requests that it has not rejected.
+// failingServer returns a server that fails in a different way for each remainder of the request ID modulo 5:
+// for 0 it rejects the request on every other connection, for 4 it always responds. It calls runs with the ID
+// of each request that it has not rejected.
 func failingServer(runs func(id string)) func(net.Conn, received) bool {
 	return func(c net.Conn, r received) bool {
 		id := r.Header.Get("X-Request-ID")
@@ -248,8 +252,8 @@
 	}
 }
 
-// Servers fail in every way. Each request has one response, and no non-idempotent request reaches a server
-// twice, unless the first one said that it has not run.
+// Servers fail in several ways. Each request must get one response, and no non-idempotent request may reach a
+// server twice, unless the first server responded that it has not run.
 func TestNonIdempotentRequestsRunOnceAmongFailingServers(t *testing.T) {
 	const workers, requestsPerWorker = 8, 25
 	var mu sync.Mutex
@@ -279,16 +283,16 @@
 	defer mu.Unlock()
 	for id, n := range ran {
 		if n > 1 {
-			t.Errorf("request %s ran %d times", id, n)
+			t.Errorf("request %s ran %d times, want at most once", id, n)
 		}
 	}
 	if len(ran) == 0 {
-		t.Error("nothing ran")
+		t.Error("no request ran")
 	}
 }
 
-// postEntry sends a non-idempotent request. Its response must be its own, or say that it has failed. The error
-// is of the connection to the sidecar.
+// postEntry sends a non-idempotent request and checks that the response is the one to this request, or says
+// that it has failed. The returned error is that of the connection to the sidecar.
 func postEntry(t *testing.T, client *http.Client, side *running, id string) error {
 	t.Helper()
 	res, err := client.Do(side.request(t, "POST", "/entry", "1", "X-Request-ID", id))
@@ -303,12 +307,12 @@
 	case res.StatusCode == http.StatusOK && string(body) == "done "+id:
 	case res.StatusCode == http.StatusServiceUnavailable, res.StatusCode == http.StatusBadGateway:
 	default:
-		t.Errorf("request %s: %s %q", id, res.Status, body)
+		t.Errorf("request %s: status %s, body %q, want its own response, 502 or 503", id, res.Status, body)
 	}
 	return nil
 }
 
-// As many requests as are allowed are in flight. One more is rejected without an attempt.
+// The number of requests in flight is at its limit. One more request must be rejected without an attempt.
 func TestRequestsOverTheLimitAreRejected(t *testing.T) {
 	s := newStub(t, silent)
 	side := start(t, setLimit("max_open", 1), s.address)
@@ -319,14 +323,15 @@
 	wait(t, "the first request", s.seen)
 	res, _ := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "r2"))
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Errorf("%s, headers %v, want 503 with Retry-After", res.Status, res.Header)
+		t.Errorf("second request: status %s, headers %v, want 503 with Retry-After", res.Status, res.Header)
 	}
 	if len(s.seen) > 0 {
-		t.Error("the second request had an attempt")
+		t.Error("second request was sent to the server, want no attempt")
 	}
 }
 
-// Clients announce a body and don't send it. They use up none of the limit on requests in flight.
+// Clients announce a body and do not send it. If these requests counted as in flight, a few such clients
+// would use up the limit for all others.
 func TestUnsentBodiesAreNotCounted(t *testing.T) {
 	s := newStub(t, echo)
 	side := start(t, setLimit("max_open", 1), s.address)
@@ -335,17 +340,17 @@
 		if _, err := fmt.Fprintf(c, rawHead+"Expect: 100-continue\r\nContent-Length: 60000\r\n\r\n", "u"+strconv.Itoa(i)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Read(make([]byte, 1)); err != nil { // the 100 Continue: the body is being read
+		if _, err := c.Read(make([]byte, 1)); err != nil { // 100 Continue: the sidecar is reading the body
 			t.Fatal(err)
 		}
 	}
 	if res, _ := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
-		t.Errorf("%s, want 200", res.Status)
+		t.Errorf("GET /look: status %s, want 200", res.Status)
 	}
 }
 
-// A client closes its connection while its request is at a server. The attempt is cancelled, and the server
-// sees its connection close. No timeout may end the attempt before that.
+// A client closes its connection while its request is at a server. The attempt must be cancelled, which
+// closes the connection to the server. The timeouts are long, so that none of them ends the attempt first.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	s := newStub(t, silent)
 	side := start(t, func(_, settings map[string]any) {
@@ -361,9 +366,9 @@
 	wait(t, "the attempt's connection to close", s.closed)
 }
 
-// The sidecar gets SIGTERM with a request in flight. That request is answered, new connections are served for
-// a while, each connection closes with its response, and the sidecar ends by itself. http.Server.Shutdown alone
-// would refuse the new connections.
+// The sidecar gets SIGTERM with a request in flight. It must respond to that request, serve new connections
+// for a while, close each connection with its response, and then exit. http.Server.Shutdown alone would
+// refuse the new connections.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "slow"))
@@ -374,21 +379,21 @@
 	}
 	wait(t, "the slow request", s.seen)
 	side.stop()
-	for { // until the drain has begun
+	for { // until the sidecar is draining
 		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
 			break
 		}
 	}
 	if res, body := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "new")); res.StatusCode != 200 || body != "done new" {
-		t.Errorf("a new connection: %s %q", res.Status, body)
+		t.Errorf("request on a new connection: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
 	close(release)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || res.StatusCode != http.StatusOK || !res.Close {
-		t.Fatalf("the slow request: %+v, error %v, want 200 and the connection closed", res, err)
+		t.Fatalf("slow request: response %+v, error %v, want 200 and Connection: close", res, err)
 	}
 	res.Body.Close()
-	if err := wait(t, "the end", side.ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, "serve to return", side.ended); err != nil {
+		t.Errorf("serve() = %v, want nil", err)
 	}
 }
--- a/internal/sidecar/parse_test.go
+++ b/internal/sidecar/parse_test.go
@@ -15,7 +15,7 @@
 	"cranehatch/policy"
 )
 
-// An invalid request gets the status that says what is wrong with it, and no attempt. A body of the maximum
+// An invalid request must get the status for what is wrong with it, and no attempt. A body of the maximum
 // length is valid.
 func TestBadInput(t *testing.T) {
 	s := newStub(t, echo)
@@ -24,7 +24,7 @@
 		method  string
 		path    string
 		body    string
-		headers []string // name, value; an empty value removes the header
+		headers []string // pairs of name and value; an empty value removes the header
 		status  int
 	}{
 		"no id":                      {"GET", "/look", "", []string{"X-Request-ID", ""}, 400},
@@ -50,23 +50,23 @@
 		t.Run(name, func(t *testing.T) {
 			res, _ := do(t, side.request(t, c.method, c.path, c.body, c.headers...))
 			if res.StatusCode != c.status {
-				t.Errorf("%s, want %d", res.Status, c.status)
+				t.Errorf("status %s, want %d", res.Status, c.status)
 			}
 		})
 	}
 	res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes)))
 	if res.StatusCode != 200 || body != "done r1" {
-		t.Errorf("body of the maximum length: %s %q", res.Status, body)
+		t.Errorf("body of the maximum length: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
 	if len(s.seen) != 1 {
-		t.Errorf("the server got %d requests, want only the valid one", len(s.seen))
+		t.Errorf("server received %d requests, want only the valid one", len(s.seen))
 	}
 }
 
-// The headers of a request become the fields of policy.Request.
+// parseRequest must map the headers of a request to the fields of policy.Request.
 func TestParseRequestMapsHeaders(t *testing.T) {
 	cfg := testConfig(t, listed(1, "ready"), nil)
-	f := newIngress(cfg, newClock(), nil)
+	handler := newIngress(cfg, newClock(), nil)
 	newRequest := func(headers ...string) *http.Request {
 		r := httptest.NewRequest(http.MethodGet, "/look/hive", nil)
 		r.Header.Set("X-Request-ID", "r1")
@@ -90,21 +90,22 @@
 		"route key, FNV-1a": {[]string{"X-Route-Key", "a"}, policy.Request{Class: class, Tenant: tenant, Key: 0xaf63dc4c8601ec8c}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			parsed, rejected := f.parseRequest(newRequest(c.headers...))
-			if rejected != nil {
-				t.Fatal(rejected)
+			parsed, rejection := handler.parseRequest(newRequest(c.headers...))
+			if rejection != nil {
+				t.Fatal(rejection)
 			}
 			if want := (parsedRequest{policy: c.want, timeout: 480 * time.Millisecond}); parsed != want {
-				t.Errorf("%+v, want %+v", parsed, want)
+				t.Errorf("parseRequest() = %+v, want %+v", parsed, want)
 			}
 		})
 	}
 }
 
-// parseTestRequest parses a valid GET of the class look with another target or other headers (names and values).
+// parseTestRequest parses a valid GET of the class look with the given target and additional headers (pairs
+// of name and value), and returns the rejection, if any.
 func parseTestRequest(t *testing.T, target string, headers ...string) *rejectionError {
 	t.Helper()
-	f := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
+	handler := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
 	r := httptest.NewRequest(http.MethodGet, target, nil)
 	for _, header := range []string{"X-Request-ID: r1", "X-Priority-Class: look", "X-Tenant-Id: south", "X-Timeout: 480m"} {
 		name, value, _ := strings.Cut(header, ": ")
@@ -113,12 +114,12 @@
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Add(headers[i], headers[i+1])
 	}
-	_, rejected := f.parseRequest(r)
-	return rejected
+	_, rejection := handler.parseRequest(r)
+	return rejection
 }
 
-// A path is forwarded as it is, and a server may read another class in it than the sidecar: it may decode an encoded
-// slash before it takes the path apart, and it may resolve dot segments.
+// A path is forwarded unchanged, and a server may interpret it as the path of another class than the sidecar
+// does: it may decode an encoded slash before it splits the path, and it may resolve dot segments.
 func TestPathOfAnotherClassIsRejected(t *testing.T) {
 	for target, valid := range map[string]bool{
 		"/look": true, "/look/": true, "/look/hive": true, "/look/a.b": true, "/look/...": true, "/look?x=../..": true,
@@ -129,15 +130,15 @@
 		"/../look": false, "//look": false, "/look%00": false, "/entry/../look": false,
 	} {
 		t.Run(target, func(t *testing.T) {
-			if rejected := parseTestRequest(t, target); valid != (rejected == nil) {
-				t.Errorf("rejected: %v, want it valid: %v", rejected, valid)
+			if rejection := parseTestRequest(t, target); valid != (rejection == nil) {
+				t.Errorf("rejection %v, want valid: %v", rejection, valid)
 			}
 		})
 	}
 }
 
-// What Connection names is dropped on the way to a server. A request arrived there without its id, or a keyed one
-// without its key.
+// Headers that Connection names are not forwarded. In this way a request reached a server without its ID, or
+// a request that is idempotent by key without its key. Such requests must be rejected.
 func TestConnectionHeaderNamingForwardedHeaderIsRejected(t *testing.T) {
 	for connection, valid := range map[string]bool{
 		"close": true, "keep-alive": true, "keep-alive, X-Own": true, "": true, "Upgrade": true,
@@ -145,11 +146,11 @@
 		"X-Timeout": false, "X-Priority-Class": false, "X-Tenant-Id": false, "Content-Length": false, "X-Route-Key": false, "X-Attrs": false,
 	} {
 		t.Run(connection, func(t *testing.T) {
-			if rejected := parseTestRequest(t, "/look", "Connection", connection); valid != (rejected == nil) {
-				t.Errorf("rejected: %v, want it valid: %v", rejected, valid)
+			if rejection := parseTestRequest(t, "/look", "Connection", connection); valid != (rejection == nil) {
+				t.Errorf("rejection %v, want valid: %v", rejection, valid)
 			}
-			if rejected := parseTestRequest(t, "/look", "Connection", "keep-alive", "Connection", connection); valid != (rejected == nil) {
-				t.Errorf("second Connection header, rejected: %v, want it valid: %v", rejected, valid)
+			if rejection := parseTestRequest(t, "/look", "Connection", "keep-alive", "Connection", connection); valid != (rejection == nil) {
+				t.Errorf("in a second Connection header: rejection %v, want valid: %v", rejection, valid)
 			}
 		})
 	}
@@ -165,7 +166,7 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			if got, ok := parseTimeout(text); !ok || got != want {
-				t.Errorf("%v, %v, want %v", got, ok, want)
+				t.Errorf("parseTimeout() = %v, %v, want %v, true", got, ok, want)
 			}
 		})
 	}
@@ -175,17 +176,17 @@
 	for _, text := range malformed {
 		t.Run(fmt.Sprintf("malformed %q", text), func(t *testing.T) {
 			if got, ok := parseTimeout(text); ok {
-				t.Errorf("accepted as %v", got)
+				t.Errorf("parseTimeout() = %v, true, want it rejected", got)
 			}
 		})
 	}
 }
 
-// rawHead is the head of a valid request of the class entry, but for its Content-Length and the empty line.
+// rawHead is the head of a valid request of the class entry, without its Content-Length and the empty line.
 const rawHead = "POST /entry HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 9000m\r\n"
 
-// sendRaw sends bytes on a new connection and returns the statuses of the responses on it. The sidecar must
-// close the connection.
+// sendRaw sends bytes on a new connection and returns the statuses of the responses on it. It reports an
+// error if the sidecar does not close the connection.
 func (s *running) sendRaw(t *testing.T, bytes string) []int {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address())
@@ -203,7 +204,7 @@
 		if err != nil {
 			var netErr net.Error
 			if errors.As(err, &netErr) && netErr.Timeout() {
-				t.Errorf("%.60q: the connection stays open", bytes)
+				t.Errorf("%.60q: connection still open, want it closed", bytes)
 			}
 			return statuses
 		}
@@ -212,8 +213,9 @@
 	}
 }
 
-// A client sends a request that can't be read, or whose end is in doubt: a second request may be hidden in its
-// body. It gets one error, the connection closes without a look at what follows, and nothing reaches a server.
+// A client sends a request that is malformed or whose length is ambiguous, so that a second request may be
+// hidden in its body. The client must get a single error response, and the connection must be closed without
+// interpreting the bytes that follow. Nothing may reach a server.
 func TestMalformedRequests(t *testing.T) {
 	s := newStub(t, echo)
 	side := start(t, nil, s.address)
@@ -239,7 +241,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if got := side.sendRaw(t, c.bytes); len(got) != 1 || got[0] != c.status {
-				t.Errorf("responses %v, want %d and a close", got, c.status)
+				t.Errorf("responses with status %v, want one with %d and the connection closed", got, c.status)
 			}
 		})
 	}
@@ -251,7 +253,7 @@
 	}
 	t.Cleanup(func() {
 		if len(s.seen) > 0 {
-			t.Errorf("%d requests reached the server", len(s.seen))
+			t.Errorf("server received %d requests, want none", len(s.seen))
 		}
 	})
 }
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client sends two requests at once, and the second is read with the first. The connection must count as active again
-// while that one is open: at the limit an idle one would be closed.
+// A client sends two requests at once, and both are read in the same read of the socket. While the second
+// request is in flight its connection must count as active: at the limit an idle one would be closed.
 func TestPipelinedRequestKeepsItsConnection(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "second"))
@@ -22,21 +22,21 @@
 	wait(t, "the first request", s.seen)
 	wait(t, "the second request", s.seen)
 	began := time.Now()
-	for range 40 { // more than there may be connections
+	for range 40 { // more than the limit on client connections
 		sendOnNewConn(t, address, "")
 	}
-	for time.Since(began) < 2*minClientIdle { // until then none may be closed, whatever its state
+	for time.Since(began) < 2*minClientIdle { // no connection may be closed earlier
 		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
-			t.Fatalf("GET /up: %s", res.Status)
+			t.Fatalf("GET /up: status %s, want 200", res.Status)
 		}
 	}
 	close(release)
 	expectOK(t, r)
 }
 
-// Clients have sent several requests at once, or one behind an open one, when the sidecar is to end. It closed the
-// connection with the first response, and what it had read behind that request was lost. All are answered, and the
-// connection is closed with or after the last response.
+// Clients have sent several requests at once, or more while a request is in flight, when the sidecar starts
+// to drain. It used to close the connection with the first response and lost the requests it had read after
+// it. All must be answered, and the connection closed with or after the last response.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	for name, sent := range map[string][]string{
 		"at once":            {rawRequest("first") + rawRequest("second") + rawRequest("third")},
@@ -61,16 +61,16 @@
 				expectOK(t, r)
 			}
 			if n, err := r.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("read %d bytes, error %v behind the last response, want the end", n, err)
+				t.Errorf("read %d bytes, error %v after the last response, want 0 bytes and io.EOF", n, err)
 			}
-			if err := wait(t, "the end", side.ended); err != nil {
-				t.Errorf("ended with %v", err)
+			if err := wait(t, "serve to return", side.ended); err != nil {
+				t.Errorf("serve() = %v, want nil", err)
 			}
 		})
 	}
 }
 
-// expectOK reads a response with status 200 to its end.
+// expectOK reads a response including its body and requires status 200.
 func expectOK(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	if res := readWholeResponse(t, r); res.StatusCode != http.StatusOK {
@@ -78,10 +78,11 @@
 	}
 }
 
-// A request waits behind another one on its connection. Its time runs from when it came, not from when its turn comes:
-// a server was told of more time than the client had left, and requests whose time was over were sent on.
+// A request waits for the response to the previous one on its connection. Its timeout must run from its
+// arrival. It used to run from the end of the wait: X-Timeout promised the server more time than the client
+// had left, and requests whose timeout had passed were forwarded.
 func TestTimeoutOfPipelinedRequestRunsFromArrival(t *testing.T) {
-	const waited = 100 * time.Millisecond // at least, behind the first
+	const minWait = 100 * time.Millisecond // minimum wait for the response to the first request
 	withTimeout := func(id, timeout string) string {
 		return strings.Replace(rawRequest(id), "20000m", timeout, 1)
 	}
@@ -90,30 +91,30 @@
 			release := make(chan struct{})
 			s := newStub(t, echoAfter(release, "first"))
 			side := start(t, nil, s.address)
-			behind := withTimeout("enough", "20000m") + withTimeout("too late", "90m")
+			pipelined := withTimeout("enough", "20000m") + withTimeout("too late", "90m")
 			first := rawRequest("first")
 			if !separately {
-				first, behind = first+behind, ""
+				first, pipelined = first+pipelined, ""
 			}
 			client := sendOnNewConn(t, strings.TrimPrefix(side.url, "http://"), first)
 			wait(t, "the first request", s.seen)
-			write(t, client, behind)
-			for sent := time.Now(); time.Since(sent) < 2*waited; { // the sidecar has read it by half of that time
+			write(t, client, pipelined)
+			for sent := time.Now(); time.Since(sent) < 2*minWait; { // the sidecar reads the request in the first half
 				if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
-					t.Fatalf("GET /up: %s", res.Status)
+					t.Fatalf("GET /up: status %s, want 200", res.Status)
 				}
 			}
 			close(release)
 			r := bufio.NewReader(client)
 			expectOK(t, r)
 			expectOK(t, r)
-			told, ok := parseTimeout(wait(t, "the second request", s.seen).Header.Get("X-Timeout"))
-			if limit := 20*time.Second - waited; !ok || told > limit {
-				t.Errorf("the server was told %v, want %v at most", told, limit)
+			forwarded, ok := parseTimeout(wait(t, "the second request", s.seen).Header.Get("X-Timeout"))
+			if limit := 20*time.Second - minWait; !ok || forwarded > limit {
+				t.Errorf("server received X-Timeout of %v, want at most %v", forwarded, limit)
 			}
 			res, err := http.ReadResponse(r, nil)
 			if err != nil || res.StatusCode != http.StatusServiceUnavailable || len(s.seen) > 0 {
-				t.Errorf("the request whose time is over: %+v, error %v, %d forwarded; want 503 and none", res, err, len(s.seen))
+				t.Errorf("request whose timeout has passed: response %+v, error %v, %d forwarded; want 503 and none", res, err, len(s.seen))
 			}
 		})
 	}
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -10,48 +10,50 @@
 	"testing"
 )
 
-// serveRejections serves clients of a sidecar that waits for the rest of a rejected request for as long as a test may
-// take. Only requests that are rejected before the loop hears of them get a response.
+// serveRejections runs an HTTP server that waits for the rest of a rejected request for as long as a test may
+// take. Only requests that are rejected before they are submitted to the event loop get a response.
 func serveRejections(t *testing.T, maxConns int) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
-	f.rejectedBodyTimeout = generous
+	handler := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
+	handler.rejectedBodyTimeout = generous
 	a := newAcceptor(listener, maxConns)
 	a.closeDelay = generous
-	server := f.server(a)
+	server := handler.server(a)
 	go func() { _ = server.Serve(a) }() // ends with the test
 	t.Cleanup(func() { server.Close() })
 	return listener.Addr().String()
 }
 
-// requestHead is the head of a request that is valid but for what headers add.
+// requestHead returns the head of a request that is valid except for the given headers.
 func requestHead(method, class string, headers ...string) string {
 	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: r1\r\nX-Priority-Class: %s\r\n"+
 		"X-Tenant-Id: north\r\nX-Timeout: 20000m\r\n%s\r\n\r\n", method, class, class, strings.Join(headers, "\r\n"))
 }
 
-// expectResponse reads a response to its end.
+// expectRejection reads a response including its body and checks its status and that it closes the
+// connection.
 func expectRejection(t *testing.T, r *bufio.Reader, status int) {
 	t.Helper()
 	if res := readWholeResponse(t, r); res.StatusCode != status || !res.Close {
-		t.Errorf("%s, closes: %v, want %d and a close", res.Status, res.Close, status)
+		t.Errorf("status %s, Connection: close: %v, want %d and true", res.Status, res.Close, status)
 	}
 }
 
-// A request is rejected by its head while its client still writes the body. The sidecar closed the connection at once
-// where the request said Connection: close; that reset it, and a client whose write failed never read the response.
-// The client must be able to write all of its body, and then find the connection closed, not reset.
+// A request is rejected because of its head while the client is still writing the body. If the request said
+// Connection: close, the sidecar used to close the connection at once. That reset it, and a client whose
+// write failed never read the response. The client must be able to write its whole body, and then find the
+// connection closed, not reset.
 func TestClientMayWriteTheBodyOfARejectedRequest(t *testing.T) {
 	half := strings.Repeat("x", maxBodyBytes/2+1)
 	length := fmt.Sprintf("Content-Length: %d", 2*len(half))
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(half), half)
 	for name, c := range map[string]struct {
 		head   string
-		first  string // of the body, before the response is read
+		first  string // part of the body, sent before the response is read
 		second string
 		status int
 	}{
@@ -70,15 +72,16 @@
 				expectRejection(t, r, c.status)
 				write(t, client, c.second)
 				if n, err := r.Read(make([]byte, 1)); err != io.EOF {
-					t.Errorf("read %d bytes, error %v behind the response, want a close", n, err)
+					t.Errorf("read %d bytes, error %v after the response, want 0 bytes and io.EOF", n, err)
 				}
 			})
 		}
 	}
 }
 
-// What the client has sent is too much to be read, or it is nothing that could be read to its end. A close would reset
-// the connection over it; the client must read the response and the end of the connection before that.
+// The client sends more than the sidecar reads, or something that has no readable end. Closing the socket
+// with these bytes unread would reset the connection. The client must be able to read the response and the
+// end of the connection first.
 func TestResponseIsReadableDespiteUnreadBytes(t *testing.T) {
 	const size = 4 * maxDroppedBodyBytes
 	for name, c := range map[string]struct {
@@ -92,17 +95,17 @@
 			http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const begin = 32 << 10 // arrives with the head, before the sidecar can close
-			client := sendOnNewConn(t, serveRejections(t, 10), c.sent+strings.Repeat("x", begin))
+			const sentWithHead = 32 << 10 // arrives with the head, before the sidecar can close the connection
+			client := sendOnNewConn(t, serveRejections(t, 10), c.sent+strings.Repeat("x", sentWithHead))
 			written := make(chan error, 1)
 			go func() {
-				_, err := io.WriteString(client, strings.Repeat("x", size-begin))
+				_, err := io.WriteString(client, strings.Repeat("x", size-sentWithHead))
 				written <- err
 			}()
 			r := bufio.NewReader(client)
 			expectRejection(t, r, c.status)
 			if n, err := r.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("read %d bytes, error %v behind the response, want the end of the connection", n, err)
+				t.Errorf("read %d bytes, error %v after the response, want 0 bytes and io.EOF", n, err)
 			}
 			client.Close()
 			<-written
@@ -110,8 +113,8 @@
 	}
 }
 
-// Connections that are closed for good once their clients had time to read the last response must not keep new clients
-// out.
+// Connections that are kept half-closed so that their clients can read the last response must not prevent new
+// clients from connecting at the limit.
 func TestClosingConnectionsAreClosedForNewClients(t *testing.T) {
 	address := serveRejections(t, 1)
 	for range 3 {
--- a/internal/sidecar/requestboundary_test.go
+++ b/internal/sidecar/requestboundary_test.go
@@ -10,7 +10,7 @@
 	const head, bare = "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "GET / HTTP/1.1\nHost: x\n\n"
 	for name, c := range map[string]struct {
 		text string
-		body int64 // behind the first head
+		body int64 // length after the first head
 		want []string
 	}{
 		"one request":           {head, 0, []string{head}},
@@ -26,25 +26,26 @@
 		t.Run(name, func(t *testing.T) {
 			for chunk := 1; chunk <= len(c.text); chunk++ {
 				if got := splitRequests(c.text, chunk, c.body); !slices.Equal(got, c.want) {
-					t.Fatalf("read %d bytes at a time: %q, want %q", chunk, got, c.want)
+					t.Fatalf("in chunks of %d bytes: parts %q, want %q", chunk, got, c.want)
 				}
 			}
 		})
 	}
 }
 
-// takeRequests passes a text in chunks, and returns it divided where a boundary was found, and the rest.
+// splitRequests passes text to a requestBoundary in chunks and returns it split at the ends of heads and
+// bodies, and the rest.
 func splitRequests(text string, chunk int, body int64) (parts []string) {
 	var b requestBoundary
 	var part strings.Builder
 	for len(text) > 0 {
-		held := b.bodyRemaining
+		expected := b.bodyRemaining
 		n := b.consume([]byte(text[:min(chunk, len(text))]))
 		part.WriteString(text[:n])
 		endsLine := text[n-1] == '\n'
 		text = text[n:]
-		headEnded := held == 0 && endsLine && b.lineLength == 0 && !b.inHead
-		bodyEnded := held > 0 && b.bodyRemaining == 0
+		headEnded := expected == 0 && endsLine && b.lineLength == 0 && !b.inHead
+		bodyEnded := expected > 0 && b.bodyRemaining == 0
 		if headEnded && len(parts) == 0 {
 			b.expectBody(body)
 		}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -12,12 +12,12 @@
 	// minDrainTime is how long new connections are accepted after SIGTERM, even if none is open at that time.
 	minDrainTime = 500 * time.Millisecond
 
-	// The platform may send SIGKILL after the longest deadline of the classes, limited to maxKillDeadline, plus
-	// killDelay, counted from SIGTERM.
+	// The platform may send SIGKILL this long after SIGTERM: the longest deadline of the classes, but at most
+	// maxKillDeadline, plus killDelay.
 
-	// maxKillDeadline limits the part of that time that the longest deadline contributes.
+	// maxKillDeadline limits how much the longest deadline delays SIGKILL.
 	maxKillDeadline = 3 * time.Second
-	// killDelay is the fixed part of that time.
+	// killDelay is added to the longest deadline.
 	killDelay = 700 * time.Millisecond
 	// killMargin is how long before a possible SIGKILL all responses must be written.
 	killMargin = 100 * time.Millisecond
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stopAndAwaitDrain has a sidecar stop, and waits until GET /up says that it drains.
+// stopAndAwaitDrain makes a sidecar stop, and waits until GET /up reports that it is draining.
 func stopAndAwaitDrain(t *testing.T, side *running) {
 	t.Helper()
 	side.stop()
@@ -20,9 +20,9 @@
 	}
 }
 
-// Clients go on sending on connections that are open at SIGTERM. A sidecar that closed one while it was idle, or with
-// half a request received, would lose the request. Each must be answered and then closed, and the sidecar end with
-// the last one.
+// Clients keep sending on connections that are open at SIGTERM. If the sidecar closed such a connection while
+// it was idle, or with part of a request received, that request would be lost. Each request must be answered
+// and its connection then closed, and the sidecar must exit after the last one.
 func TestOpenConnectionsAreServedWhileDraining(t *testing.T) {
 	s := newStub(t, echo)
 	side := start(t, nil, s.address)
@@ -30,53 +30,54 @@
 	idle := sendOnNewConn(t, address, rawRequest("before"))
 	idleReader := bufio.NewReader(idle)
 	if res, err := http.ReadResponse(idleReader, nil); err != nil || res.Close {
-		t.Fatalf("before the stop: %+v, error %v", res, err)
+		t.Fatalf("before SIGTERM: response %+v, error %v, want the connection kept open", res, err)
 	} else if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		t.Fatal(err)
 	}
-	const sentBefore = 40 // bytes of the request that crosses the stop
-	crossing := rawRequest("crossing")
-	begun := sendOnNewConn(t, address, crossing[:sentBefore])
+	const sentBefore = 40 // bytes of partialRequest that are sent before SIGTERM
+	partialRequest := rawRequest("crossing")
+	partial := sendOnNewConn(t, address, partialRequest[:sentBefore])
 	wait(t, "the first request", s.seen)
 	stopAndAwaitDrain(t, side)
 	select {
 	case err := <-side.ended:
-		t.Fatalf("ended (%v) with connections open", err)
+		t.Fatalf("serve() = %v while connections are open, want it to wait for them", err)
 	default:
 	}
 	write(t, idle, rawRequest("after"))
-	write(t, begun, crossing[sentBefore:])
-	for name, r := range map[string]*bufio.Reader{"idle": idleReader, "begun": bufio.NewReader(begun)} {
+	write(t, partial, partialRequest[sentBefore:])
+	for name, r := range map[string]*bufio.Reader{"idle": idleReader, "partial": bufio.NewReader(partial)} {
 		if res, err := http.ReadResponse(r, nil); err != nil || res.StatusCode != http.StatusOK || !res.Close {
-			t.Errorf("on the %s connection: %+v, error %v, want 200 and the connection closed", name, res, err)
+			t.Errorf("%s connection: response %+v, error %v, want 200 and Connection: close", name, res, err)
 		}
 	}
-	if err := wait(t, "the end", side.ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, "serve to return", side.ended); err != nil {
+		t.Errorf("serve() = %v, want nil", err)
 	}
 }
 
-// A request that comes after SIGTERM and meets a server that hangs would still be open at SIGKILL. It gets its
-// response before that may come; one that comes when it may come at any moment is rejected at once and never sent.
+// A request that arrives after SIGTERM, at a server that hangs, would still be in flight at SIGKILL. It must
+// get its response before SIGKILL may be sent. A request that arrives when SIGKILL may already be sent must
+// be rejected at once and never forwarded.
 func TestDrainDeadlineCapsRequestDeadlines(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
-	f, address := serveClients(t, l)
-	f.drainDeadline.Store(int64(l.clock.now() + generous/2))
+	handler, address := serveClients(t, l)
+	handler.drainDeadline.Store(int64(l.clock.now() + generous/2))
 	sendOnNewConn(t, address, rawRequest("in time"))
 	l.runNextEvent(t)
 	for _, r := range l.requests {
-		if r.deadline != time.Duration(f.drainDeadline.Load()) {
-			t.Errorf("its deadline is %v, want %v", r.deadline, time.Duration(f.drainDeadline.Load()))
+		if r.deadline != time.Duration(handler.drainDeadline.Load()) {
+			t.Errorf("deadline = %v, want %v", r.deadline, time.Duration(handler.drainDeadline.Load()))
 		}
 	}
-	f.drainDeadline.Store(1)
+	handler.drainDeadline.Store(1)
 	c := sendOnNewConn(t, address, rawRequest("late"))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close || res.Header.Get("Retry-After") == "" {
-		t.Errorf("the late one: %+v, error %v, want 503, Retry-After, and the connection closed", res, err)
+		t.Errorf("late request: response %+v, error %v, want 503, Retry-After and Connection: close", res, err)
 	}
 	if len(l.events) > 0 || len(l.requests) != 1 {
-		t.Errorf("%d events, %d requests: the late one was submitted", len(l.events), len(l.requests))
+		t.Errorf("%d events and %d requests after the late request, want 0 and 1", len(l.events), len(l.requests))
 	}
 }
