--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -187,7 +187,7 @@
 	address := l.Addr().String()
 	values := configValues{listen: address, discovery: unusedAddress(t), mode: "push", cachedList: "{}", maxDescriptors: 64}
 	lines := startWithLog(t, sidecarCommand(t, values.text()))
-	if lines.skipTo("waited for") == nil {
+	if lines.skipTo("listen address is in use") == nil {
 		t.Fatal("it ended")
 	}
 	l.Close()
--- a/internal/sidecarbench/sidecar_process_test.go
+++ b/internal/sidecarbench/sidecar_process_test.go
@@ -9,7 +9,7 @@
 // nothing to show that none had been measured.
 func TestReadLog(t *testing.T) {
 	log := strings.Join([]string{
-		`2026/12/03 06:00:00 WARN the address to listen on is in use, it is waited for listen=127.0.0.1:9000`,
+		`2026/12/03 06:00:00 WARN listen address is in use, retrying listen=127.0.0.1:9000`,
 		`2026/12/03 06:00:00 INFO serving name=n3 listen=127.0.0.1:9000 cached_endpoints=2`,
 		`2026/12/03 06:00:10 INFO counters policy.gossip_received=40 gossip.sent=7 gossip.lost=0 gossip.received=41 gossip.malformed=0`,
 	}, "\n")
