--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,99 +5,122 @@
 )
 
 const (
-	// congestedFraction of the latency objective is how long responses take
-	// from congested endpoints.
+	// congestedFraction is the fraction of the latency objective that responses of
+	// congested endpoints take. Its square is the congestion threshold.
 	congestedFraction = 0.3
-	// Where responses take a large part of the objective without any load,
-	// the threshold is a multiple of their unloaded mean square instead, up to
-	// that of maxCongestedFraction.
-	unloadedSquares      = 8.0
+
+	// unloadedThresholdFactor applies where responses take a large part of the
+	// latency objective even without load. The threshold is then this multiple of
+	// the square of that part.
+	unloadedThresholdFactor = 8.0
+
+	// maxCongestedFraction bounds such a threshold by its own square.
 	maxCongestedFraction = 0.42
 
-	bearablePerEndpoint = 1.7 // concurrent requests that an endpoint bears without congestion,
-	bearableQuotas      = 1.5 // or this multiple of what the quotas keep in flight there in the unloaded latency
+	// uncongestedPerEndpoint is how many concurrent requests an endpoint can at
+	// least serve without congestion.
+	uncongestedPerEndpoint = 1.7
+
+	// uncongestedQuotaFactor estimates the same number from the quotas: it is this
+	// multiple of the requests in flight at an endpoint while traffic is at the
+	// quotas and responses take the unloaded latency.
+	uncongestedQuotaFactor = 1.5
+
+	// concurrencyLimitTolerance is the factor by which the congestion that reduces
+	// the limit over all attempts exceeds the congestion that reduces the limit of
+	// a single endpoint.
+	concurrencyLimitTolerance = 1.7
 
-	// totalLimitRatio is by how much more congestion it takes to reduce the
-	// limit over all attempts than to reduce that of one endpoint.
-	totalLimitRatio = 1.7
+	// unloadedSamples is the number of responses in a mean latency. With fewer, the
+	// mean would reflect a single slow request.
+	unloadedSamples = 4
 
-	unloadedSamples = 4    // responses in a mean latency: with fewer it would show one slow request
-	unloadedDrift   = 2048 // responses in which the lowest mean grows by a factor of e
+	// unloadedDriftResponses is the number of responses in which the lowest mean
+	// grows by a factor of e.
+	unloadedDriftResponses = 2048
 
-	minCongestion = 1e-4 // below this no endpoint is congested: avoids a division by 0
+	// minCongestion is a congestion at which no endpoint counts as congested. Lower
+	// values are raised to it, which avoids a division by 0.
+	minCongestion = 1e-4
 )
 
-// unloadedLatency estimates the latency without load: the lowest recent mean
-// over a few responses. It drifts up, as what it was may hold no more; slowly,
-// or lasting congestion would pass for the unloaded state.
+// unloadedLatency estimates the latency without load as the lowest recent mean
+// over a few responses. The lowest mean drifts up, because an old one may no
+// longer apply. It drifts slowly, or lasting congestion would be mistaken for
+// the unloaded state.
 type unloadedLatency struct {
-	responses    int // in the mean, up to unloadedSamples
-	mean, min    time.Duration
-	meanFraction float64 // the same as fractions of the classes' latency objectives
-	minFraction  float64
+	responses    int           // in the mean, up to unloadedSamples
+	mean, min    time.Duration // mean latency, and the lowest of these means
+	meanFraction float64       // mean as a fraction of the classes' latency objectives
+	minFraction  float64       // the lowest meanFraction
 }
 
-// observe takes the latency of a response, and its fraction of the objective.
+// observe records the latency of a response, also as a fraction of the latency
+// objective.
 func (u *unloadedLatency) observe(latency time.Duration, fraction float64) {
 	u.responses = min(u.responses+1, unloadedSamples)
 	u.mean += (latency - u.mean) / time.Duration(u.responses)
 	u.meanFraction += (fraction - u.meanFraction) / float64(u.responses)
 	switch {
-	case u.responses < unloadedSamples: // too few to tell
+	case u.responses < unloadedSamples: // too few responses for an estimate
 	case u.min == 0:
 		u.min, u.minFraction = u.mean, u.meanFraction
 	default:
-		u.min = min(u.mean, u.min+u.min/unloadedDrift)
-		u.minFraction = min(u.meanFraction, u.minFraction+u.minFraction/unloadedDrift)
+		u.min = min(u.mean, u.min+u.min/unloadedDriftResponses)
+		u.minFraction = min(u.meanFraction, u.minFraction+u.minFraction/unloadedDriftResponses)
 	}
 }
 
-// congestion is a moving mean of the square of latency / latency objective.
-// The square gives weight to the tail: a few slow responses count.
+// congestion is a moving mean of the square of latency / latency objective. The
+// square emphasizes the tail of the distribution: a few slow responses count.
 type congestion struct {
 	meanSquare float64
-	at         time.Duration
+	observedAt time.Duration // time of the latest sample
 }
 
+// The weight of a sample in congestion.meanSquare.
 const (
 	minCongestionGain     = 1.0 / 16
 	maxCongestionGain     = 0.5
-	congestionGainSeconds = 10 // a sample this long after the one before would count in full
+	congestionGainSeconds = 10 // the gain is the time since the previous sample, divided by this
 )
 
-// observe takes a sample. The rarer they are, the more each counts.
+// observe records a sample. The rarer samples are, the more each of them counts.
 func (c *congestion) observe(now time.Duration, square float64) {
-	gain := min(maxCongestionGain, max(minCongestionGain, (now-c.at).Seconds()/congestionGainSeconds))
+	gain := min(maxCongestionGain, max(minCongestionGain, (now-c.observedAt).Seconds()/congestionGainSeconds))
 	c.meanSquare += (square - c.meanSquare) * gain
-	c.at = now
+	c.observedAt = now
 }
 
-// limitFraction returns the fraction of a concurrency limit that congestion
-// leaves. Where the slots of all balancers together exceed what endpoints can
-// bear, each reduces its limit that much sooner: then all have, before
-// endpoints are overloaded.
+// limitFraction returns the fraction of a concurrency limit that remains under
+// congestion. If all balancers together have more slots than the endpoints can
+// serve without congestion, the threshold is lower by that ratio: each balancer
+// then reduces its limit so early that all have done so before endpoints are
+// overloaded.
 func (b *Balancer) limitFraction(meanSquare float64) float64 {
 	endpoints := float64(max(1, b.endpoints.maxReady))
-	bearable := max(bearablePerEndpoint, bearableQuotas*b.quota*b.unloaded.min.Seconds()/endpoints)
-	excess := float64(b.bulkheads.slots*b.cfg.Balancers) / (bearable * endpoints)
+	uncongested := max(uncongestedPerEndpoint, uncongestedQuotaFactor*b.quota*b.unloaded.min.Seconds()/endpoints)
+	excess := float64(b.bulkheads.slots*b.cfg.Balancers) / (uncongested * endpoints)
 	unloaded := b.unloaded.minFraction
 	threshold := max(congestedFraction*congestedFraction,
-		min(unloadedSquares*unloaded*unloaded, maxCongestedFraction*maxCongestedFraction))
+		min(unloadedThresholdFactor*unloaded*unloaded, maxCongestedFraction*maxCongestedFraction))
 	return min(1, threshold/max(meanSquare*max(1, excess), minCongestion))
 }
 
-// congested says that congestion leaves less than all of the limits.
+// congested reports whether the congestion of all endpoints is high enough to
+// reduce limits.
 func (b *Balancer) congested(now time.Duration) bool {
 	return b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare)) < 1
 }
 
 // concurrencyLimit returns how many attempts this balancer may have in flight,
-// at least 1: its slots, less what congestion takes from the slots of all
-// balancers. What remains of those is divided by demand, as far as peers
-// report theirs.
+// at least 1. Without gossip, these are its slots, reduced by congestion. With
+// gossip, congestion reduces the slots of all balancers together, and this
+// balancer may use a part of them according to its share of the demand, up to
+// its own slots.
 func (b *Balancer) concurrencyLimit(now time.Duration) float64 {
 	slots := float64(b.bulkheads.slots)
-	fraction := b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare) / totalLimitRatio)
+	fraction := b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare) / concurrencyLimitTolerance)
 	if !b.gossip.received {
 		return max(1, slots*fraction)
 	}
@@ -106,9 +129,9 @@
 }
 
 // endpointLimit returns how many attempts this balancer may have in flight at
-// one endpoint, at least 1: the endpoint's part of the slots, less what its
-// congestion takes.
+// one endpoint, at least 1: the endpoint's share of the slots among the
+// endpoints of the subset, reduced by its congestion.
 func (b *Balancer) endpointLimit(e *endpoint) float64 {
-	part := b.endpoints.proportion(float64(b.bulkheads.slots), e)
-	return max(1, part*b.endpoints.readyWeight/b.subset.weight*b.limitFraction(e.congestion))
+	share := b.endpoints.proportion(float64(b.bulkheads.slots), e)
+	return max(1, share*b.endpoints.readyWeight/b.subset.weight*b.limitFraction(e.congestion))
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -198,10 +198,10 @@
 		{"rare samples", 20 * time.Second, 0.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := congestion{at: time.Minute}
+			m := congestion{observedAt: time.Minute}
 			m.observe(time.Minute+c.since, 1)
-			if math.Abs(m.meanSquare-c.want) > 1e-9 || m.at != time.Minute+c.since {
-				t.Errorf("mean %v at %v, want %v at %v", m.meanSquare, m.at, c.want, time.Minute+c.since)
+			if math.Abs(m.meanSquare-c.want) > 1e-9 || m.observedAt != time.Minute+c.since {
+				t.Errorf("mean %v at %v, want %v at %v", m.meanSquare, m.observedAt, c.want, time.Minute+c.since)
 			}
 		})
 	}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// EndpointID names an endpoint; it stays the same when the endpoint restarts.
+// EndpointID identifies an endpoint. It stays the same when the endpoint restarts.
 type EndpointID uint64
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState int
 
-// The states of an endpoint. Only ready ones get new requests.
+// The states of an endpoint. Only ready endpoints get new requests.
 const (
 	Removed EndpointState = iota
 	Draining
 	Ready
 )
 
-// The zone and the cell of an endpoint that the list gives none for. Nothing
-// says that two such endpoints share a zone, or a cell.
+// The zone and the cell of an endpoint for which the list gives none. Two
+// endpoints of unknown zone, or of unknown cell, must not be assumed to share it.
 const (
 	UnknownZone = -1
 	UnknownCell = -1
@@ -30,41 +30,42 @@
 type Endpoint struct {
 	ID        EndpointID
 	Zone      int // or UnknownZone
-	Cell      int // or UnknownCell; endpoints of one cell share the idempotency keys that they have seen
+	Cell      int // or UnknownCell; endpoints of one cell share the idempotency keys they have seen
 	State     EndpointState
-	Weight    float64       // nominal size, relative to the other endpoints' weights
-	StartedAt time.Duration // time of its last start; 0: long ago
+	Weight    float64       // nominal capacity, relative to the other endpoints' weights
+	StartedAt time.Duration // time of the last start; 0: long ago
 }
 
-// endpoint is what a Balancer knows of one endpoint. A restart resets all of
-// it but the attempts in flight: nothing learned before holds any more.
+// endpoint is what a Balancer knows about one endpoint. A restart of the
+// endpoint resets everything except the attempts in flight, because earlier
+// observations no longer apply. Its health is judged in outlier.go.
 type endpoint struct {
 	Endpoint
-	inFlight int // this balancer's attempts there
+	inFlight int // attempts of this balancer at the endpoint
 
 	inSubset bool
-	nextTurn float64 // virtual time of its next turn: see picker
+	nextPick float64 // virtual time at which the endpoint is due to be picked: see picker
 
-	relativeLatency     float64       // mean latency relative to its class's; failures count too: see outlier.go
-	congestion          float64       // mean square of latency / latency objective: see concurrency.go
-	unresponsiveSince   time.Duration // no response since; 0: it responded last
+	relativeLatency     float64       // mean of latency / mean latency of the class; includes failures
+	congestion          float64       // mean square of latency / latency objective
+	unresponsiveSince   time.Duration // first timeout or failed connection since the last success; 0: none
 	consecutiveFailures int
-	ejectedUntil        time.Duration // no turns before this
+	ejectedUntil        time.Duration // not picked before this time
 
-	slowStartUntil    time.Duration // by the list, or by our own guess
-	nextSlowStartSend time.Duration // in slow start: nothing more before this
+	slowStartUntil    time.Duration // derived from StartedAt, or from a presumed restart
+	nextSlowStartSend time.Duration // in slow start, nothing is sent before this time
 
-	reportedAt     time.Duration // time of its latest load report; 0: none
-	report         LoadReport
-	othersInFlight float64 // requests of other balancers by that report
+	reportedAt     time.Duration // when a load report last came or was found missing; 0: never
+	report         LoadReport    // the latest load report
+	othersInFlight float64       // other balancers' requests by that report; infinite if it is missing
 }
 
-// endpointSet is the endpoint list as last received, in order of ids.
+// endpointSet is the endpoint list as last received, ordered by id.
 type endpointSet struct {
 	all            []*endpoint
-	readyWeight    float64 // of all ready endpoints
-	maxReadyWeight float64 // the highest that it has been
-	maxReady       int     // the highest number of ready endpoints so far
+	readyWeight    float64 // total weight of the ready endpoints
+	maxReadyWeight float64 // highest readyWeight so far
+	maxReady       int     // highest number of ready endpoints so far
 }
 
 func (s *endpointSet) search(id EndpointID) (index int, found bool) {
@@ -72,7 +73,7 @@
 	return slices.BinarySearchFunc(s.all, id, byID)
 }
 
-// find returns the listed endpoint of that id, or nil.
+// find returns the listed endpoint with the given id, or nil.
 func (s *endpointSet) find(id EndpointID) *endpoint {
 	if i, found := s.search(id); found {
 		return s.all[i]
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// findOrAdd returns the endpoint of that id, added where it is not listed yet.
+// findOrAdd returns the endpoint with the given id. It adds the endpoint if it
+// is not listed yet.
 func (s *endpointSet) findOrAdd(id EndpointID) *endpoint {
 	i, found := s.search(id)
 	if !found {
@@ -89,7 +91,7 @@
 	return s.all[i]
 }
 
-// ready returns the ready endpoints, in order of their ids.
+// ready returns the ready endpoints, ordered by id.
 func (s *endpointSet) ready() (ready []*endpoint) {
 	for _, e := range s.all {
 		if e.State == Ready {
@@ -99,14 +101,15 @@
 	return ready
 }
 
-// markAllRemoved precedes a complete list: what that does not name is removed.
+// markAllRemoved marks every endpoint as removed. It is called before a complete
+// list is applied, so that endpoints absent from the list remain removed.
 func (s *endpointSet) markAllRemoved() {
 	for _, e := range s.all {
 		e.State = Removed
 	}
 }
 
-// update drops removed endpoints and adds up the weights of the ready ones.
+// update drops removed endpoints and recomputes the totals of the ready ones.
 func (s *endpointSet) update() {
 	s.all = slices.DeleteFunc(s.all, func(e *endpoint) bool { return e.State == Removed })
 	ready := s.ready()
@@ -118,9 +121,10 @@
 	s.maxReady = max(s.maxReady, len(ready))
 }
 
-// proportion returns an endpoint's part of a total, by its weight in the
-// largest list so far. It does not grow when other endpoints leave or fail:
-// those that remain would be overloaded one after the other.
+// proportion returns an endpoint's share of a total: its weight relative to the
+// highest total weight of ready endpoints so far. The share does not grow when
+// other endpoints leave or fail; otherwise the remaining endpoints would be
+// overloaded one after the other.
 func (s *endpointSet) proportion(total float64, e *endpoint) float64 {
 	return total * e.Weight / max(s.maxReadyWeight, e.Weight)
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -5,52 +5,73 @@
 	"time"
 )
 
-// Intervals without a unit are in mean latency objectives.
 const (
-	broadcastInterval = 1.0  // a response in time is broadcast before the next
-	idleBroadcasts    = 4    // without traffic only one in so many is sent, to show that the balancer lives
-	peerLifetime      = 10.0 // what a peer said of its demand holds this long
-	sampleHorizon     = 1.0  // over which what is known of the fleet decays: queues build up no faster
-	maxMessageAge     = 2.0
-	maxClockSkew      = 100 * time.Millisecond
-	minFleetSamples   = 8.0 // with fewer responses of the fleet, one's own count alone
-	maxCongestion     = 4.0 // no sample counts for more: a response that took twice the objective
+	// broadcastInterval is the mean time between two broadcast rounds, in mean
+	// latency objectives: one response within the objective is broadcast before the
+	// next.
+	broadcastInterval = 1.0
+
+	// idleBroadcastRounds is the number of consecutive rounds without responses to
+	// report of which only one broadcasts a message, to show that the balancer is
+	// alive.
+	idleBroadcastRounds = 4
+
+	// peerRateLifetime is how long the request rate in a peer's message is used, in
+	// mean latency objectives.
+	peerRateLifetime = 10.0
+
+	// sampleHorizon is the time in which the fleet's samples decay by a factor of e,
+	// in mean latency objectives. They remain valid for about as long, because
+	// queues build up no faster.
+	sampleHorizon = 1.0
+
+	maxMessageAge = 2.0                    // age above which a message is dropped, in mean latency objectives
+	maxClockSkew  = 100 * time.Millisecond // how far ahead of this balancer's clock a peer's may be
+
+	// minFleetSamples is the number of responses of the fleet below which only this
+	// balancer's own congestion is used.
+	minFleetSamples = 8.0
+
+	// maxCongestion is the highest value of a sample: that of a response that took
+	// twice the latency objective.
+	maxCongestion = 4.0
 )
 
-// GossipMessage is what a balancer broadcasts to its peers about the time
-// since its message before. Peers' messages only advise: they move the
-// concurrency limit, down to one attempt in flight, and whether late requests
-// are sent; never what eligible allows, nor slots and queues. Without any, each
-// balancer goes by what it observes itself.
+// GossipMessage is what a balancer broadcasts to its peers about the time since
+// its previous message. Peers' messages are advisory: they affect the concurrency
+// limit, which is always at least one attempt in flight, and whether late
+// requests are sent. They never affect what eligible allows, nor slots and
+// queues. Without any messages, each balancer uses only its own observations.
 type GossipMessage struct {
 	SentAt      time.Duration // on the clock that all balancers share
 	RequestRate float64       // requests per second
-	Responses   float64       // attempts that ended and tell of congestion
-	Congestion  float64       // mean square of latency / latency objective over these
+	Responses   float64       // attempts that ended and are samples of congestion
+	Congestion  float64       // mean square of latency / latency objective of these attempts
 }
 
-// peer is what another balancer last said of itself.
+// peer is the content of the latest message from another balancer.
 type peer struct {
-	sentAt      time.Duration // 0: nothing yet
-	requestRate float64
+	sentAt      time.Duration // 0: no message yet
+	requestRate float64       // requests per second
 }
 
-// gossip is what a balancer knows of the fleet and is about to broadcast.
+// gossip holds what a balancer knows about the fleet, and its own observations
+// that are yet to be broadcast.
 type gossip struct {
 	enabled   bool
-	index     int // this balancer's number
+	index     int // Config.Index of this balancer
 	objective meanObjective
 
-	peers    []peer // by their numbers
-	received bool   // any message has been accepted
+	peers    []peer // by index
+	received bool   // a message has been accepted
 
 	nextBroadcast time.Duration
-	emptyRounds   int     // broadcasts in a row that had no responses to report
-	ownResponses  float64 // since the latest broadcast
-	ownCongestion float64 // sum over these
+	emptyRounds   int     // consecutive rounds without responses to report
+	ownResponses  float64 // this balancer's responses since its latest message
+	ownCongestion float64 // sum over ownResponses
 
-	fleetResponses  float64 // of all balancers, decaying
-	fleetCongestion float64 // sum over these
+	fleetResponses  float64 // responses of all balancers; decays
+	fleetCongestion float64 // sum over fleetResponses; decays
 	decayedAt       time.Duration
 }
 
@@ -63,20 +84,21 @@
 	}
 }
 
-// decay returns by what factor the fleet's samples have decayed by now.
+// decay returns the factor by which the fleet's samples have decayed by now.
 func (g *gossip) decay(now time.Duration) float64 {
 	return math.Exp(-float64(now-g.decayedAt) / float64(g.objective.times(sampleHorizon)))
 }
 
-// add takes attempts that ended, its own or a peer's.
-func (g *gossip) add(now time.Duration, responses, congestion float64) {
+// addFleetSamples adds ended attempts of this balancer or of a peer. congestion
+// is their mean.
+func (g *gossip) addFleetSamples(now time.Duration, responses, congestion float64) {
 	factor := g.decay(now)
 	g.decayedAt = now
 	g.fleetResponses = g.fleetResponses*factor + responses
 	g.fleetCongestion = g.fleetCongestion*factor + responses*congestion
 }
 
-// record takes one of this balancer's attempts that tells of congestion.
+// record adds an ended attempt of this balancer, as a sample of congestion.
 func (g *gossip) record(now time.Duration, congestion float64) {
 	if !g.enabled {
 		return
@@ -84,50 +106,50 @@
 	congestion = min(congestion, maxCongestion)
 	g.ownResponses++
 	g.ownCongestion += congestion
-	g.add(now, 1, congestion)
+	g.addFleetSamples(now, 1, congestion)
 }
 
-// nextMessage returns what to broadcast, or false if there is nothing to say
-// in this round.
+// nextMessage returns the message of this round. ok is false if nothing is to be
+// broadcast in this round.
 func (g *gossip) nextMessage(now time.Duration, requestRate float64) (m GossipMessage, ok bool) {
 	m = GossipMessage{SentAt: now, RequestRate: requestRate, Responses: g.ownResponses}
 	if m.Responses > 0 {
 		m.Congestion = g.ownCongestion / m.Responses
 		g.emptyRounds = 0
-	} else if g.emptyRounds++; g.emptyRounds%idleBroadcasts != 1 {
+	} else if g.emptyRounds++; g.emptyRounds%idleBroadcastRounds != 1 {
 		return GossipMessage{}, false
 	}
 	g.ownResponses, g.ownCongestion = 0, 0
 	return m, true
 }
 
-// accept takes a message of the balancer of that number. It returns false for
-// one that is stale, repeated, out of order or implausible.
+// accept processes a message of the balancer with the index from. It ignores a
+// message that is stale, repeated, out of order or implausible, and returns false.
 func (g *gossip) accept(now time.Duration, from int, m GossipMessage) bool {
 	if !g.plausible(now, from, m) {
 		return false
 	}
 	g.received = true
 	g.peers[from] = peer{m.SentAt, m.RequestRate}
-	g.add(now, m.Responses, m.Congestion)
+	g.addFleetSamples(now, m.Responses, m.Congestion)
 	return true
 }
 
-// plausible says whether a peer can have sent a message just now.
+// plausible reports whether a peer can have sent a message just now.
 func (g *gossip) plausible(now time.Duration, from int, m GossipMessage) bool {
 	if !g.enabled || from < 0 || from >= len(g.peers) || from == g.index {
 		return false
 	}
 	recent := m.SentAt <= now+maxClockSkew && now-m.SentAt <= g.objective.times(maxMessageAge)
 	inOrder := m.SentAt > g.peers[from].sentAt
-	within := func(f, limit float64) bool { return f >= 0 && f <= limit } // false for NaN
+	within := func(f, limit float64) bool { return f >= 0 && f <= limit } // false if f is NaN
 	return recent && inOrder && within(m.RequestRate, math.MaxUint32) &&
 		within(m.Responses, math.MaxUint16) && within(m.Congestion, maxCongestion)
 }
 
-// congestion returns the fleet's congestion where enough is known of it, else
-// this balancer's own. One of little traffic would take a single slow request
-// of its own for congestion everywhere.
+// congestion returns the fleet's congestion, or this balancer's own if there are
+// too few recent samples of the fleet. By its own, a balancer with little traffic
+// would mistake a single slow request for congestion of all endpoints.
 func (g *gossip) congestion(now time.Duration, own float64) float64 {
 	if !g.received || g.fleetResponses*g.decay(now) < minFleetSamples {
 		return own
@@ -135,28 +157,28 @@
 	return g.fleetCongestion / g.fleetResponses
 }
 
-// demandFraction returns this balancer's share of the fleet's requests. A peer
-// that nothing recent is known of counts with an even share of the quota;
-// without any message the share is even.
+// demandFraction returns this balancer's fraction of the fleet's requests. A peer
+// without a recent message counts with an equal share of the quota. Without any
+// message, or if the quota is unknown, all balancers have equal fractions.
 func (g *gossip) demandFraction(now time.Duration, ownRate, fleetQuota float64) float64 {
-	even := fleetQuota / float64(len(g.peers))
-	if !g.received || even == 0 {
+	equalShare := fleetQuota / float64(len(g.peers))
+	if !g.received || equalShare == 0 {
 		return 1 / float64(len(g.peers))
 	}
-	all := ownRate
+	fleetRate := ownRate
 	for i := range g.peers {
 		switch p := &g.peers[i]; {
 		case i == g.index:
-		case p.sentAt == 0 || now-p.sentAt > g.objective.times(peerLifetime):
-			all += even
+		case p.sentAt == 0 || now-p.sentAt > g.objective.times(peerRateLifetime):
+			fleetRate += equalShare
 		default:
-			all += p.requestRate
+			fleetRate += p.requestRate
 		}
 	}
-	return ownRate / max(all, even)
+	return ownRate / max(fleetRate, equalShare)
 }
 
-// ReceiveGossip takes a message of the balancer of that number.
+// ReceiveGossip processes a message of the balancer with the index from.
 func (b *Balancer) ReceiveGossip(now time.Duration, from int, m GossipMessage) {
 	if b.gossip.accept(now, from, m) {
 		b.count.GossipReceived++
@@ -165,8 +187,8 @@
 	}
 }
 
-// broadcast sends this balancer's message when it is due, at intervals with
-// jitter so that balancers do not send all at once.
+// broadcast sends this balancer's message if it is due. The intervals have
+// jitter, so that balancers do not all send at the same time.
 func (b *Balancer) broadcast(now time.Duration) {
 	g := &b.gossip
 	if !g.enabled || b.cfg.Balancers < 2 || now < g.nextBroadcast {
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -92,7 +92,7 @@
 
 // Peers add up what they receive, so a response that is broadcast twice counts twice as congestion. Each is broadcast
 // once; a balancer without traffic broadcasts seldom, and one that may not gossip never.
-func TestBroadcastCoversTimeSinceTheLast(t *testing.T) {
+func TestEachResponseIsBroadcastOnce(t *testing.T) {
 	// fireTimers has timers fire for a while, and returns when they end.
 	fireTimers := func(b *Balancer, now, until time.Duration) time.Duration {
 		for ; now < until; now += 20 * ms {
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestGossipDemandShare(t *testing.T) {
+func TestGossipDemandFraction(t *testing.T) {
 	const now = time.Hour
 	for _, c := range []struct {
 		name     string
--- a/policy/idleclose.go
+++ b/policy/idleclose.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// idleCloser closes idle connections to draining endpoints.
+// idleCloser schedules the repeated closing of idle connections to draining
+// endpoints.
 type idleCloser struct {
-	repeatAt time.Duration // when they are closed once more; 0: not scheduled
+	repeatAt time.Duration // when idle connections are closed again; 0: not scheduled
 }
 
-// closeIdle closes the idle connections to an endpoint that gets nothing new:
-// now and, as one may be opening just then, once more.
+// closeIdle closes the idle connections to an endpoint that gets no new
+// requests: now, and once more later, because a connection may just be opening.
 func (b *Balancer) closeIdle(now time.Duration, e *endpoint) {
 	if b.cfg.IdleCloseTimeout > 0 {
 		b.host.CloseIdle(e.ID)
@@ -20,8 +21,8 @@
 	}
 }
 
-// repeatCloseIdle closes the idle connections to all draining endpoints once
-// more, when that is due.
+// repeatCloseIdle closes the idle connections to all draining endpoints if the
+// repetition scheduled by closeIdle is due.
 func (b *Balancer) repeatCloseIdle(now time.Duration) {
 	if b.idleCloser.repeatAt == 0 || now < b.idleCloser.repeatAt {
 		return
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -6,19 +6,31 @@
 )
 
 const (
-	reportLifetime = 50 * time.Millisecond // a load report says how many more an endpoint can take for this long
-	reportMaxAge   = 5 * reportLifetime    // and whether it is full for this long
-	reportTimeout  = 30 * time.Millisecond // a request waits this long for a report
-	// maxHealthChecks is how many endpoints a request waits for.
-	maxHealthChecks = 3
-	// sampleSpread is over how long balancers spread their first health check.
+	// reportLifetime is the age from which a load report no longer shows how many
+	// more requests an endpoint can take.
+	reportLifetime = 50 * time.Millisecond
+
+	// reportMaxAge is the age from which a load report no longer shows whether an
+	// endpoint is full.
+	reportMaxAge = 5 * reportLifetime
+
+	reportTimeout   = 30 * time.Millisecond // how long a request waits for one load report
+	maxHealthChecks = 3                     // load reports that a request waits for at most
+
+	// sampleSpread is the period over which balancers spread their first health
+	// checks.
 	sampleSpread = 4 * reportLifetime
 
-	comparisonsNeeded = 4                     // pairs of reports that are compared
-	changesNeeded     = comparisonsNeeded - 1 // of them must differ for reports to count as fresh
-	freshSubsetFactor = 3                     // fresh reports find free endpoints among this many times more
+	comparisonsNeeded = 4                     // pairs of successive load reports that are compared
+	changesNeeded     = comparisonsNeeded - 1 // pairs that must differ for reports to count as fresh
+
+	// freshSubsetFactor is the factor by which the subset grows once load reports
+	// have proved fresh, because they then show which of its endpoints are free.
+	freshSubsetFactor = 3
 
-	reportedHeadroom = 2.0 // an endpoint is full at its part of all balancers' requests and this many more
+	// reportedHeadroom is how many requests an endpoint must have beyond its share
+	// of all balancers' requests to count as full.
+	reportedHeadroom = 2.0
 )
 
 // ReportFields is a set of the fields of a LoadReport.
@@ -34,40 +46,42 @@
 	HasErrorRate
 )
 
-// LoadReport is what an endpoint reports of itself. The zero value is no
-// report at all.
+// LoadReport is an endpoint's report of its own load. The zero value stands for
+// no report.
 type LoadReport struct {
-	Fields      ReportFields  // those that hold; the others are unknown
+	Fields      ReportFields  // the fields that are set; the others are unknown
 	InFlight    float64       // requests at the endpoint
-	Queued      float64       // of these, requests that wait
-	Utilization float64       // fraction of its cores in use
-	ServiceTime time.Duration // usual time for a request, without waiting
+	Queued      float64       // requests in flight that are queued
+	Utilization float64       // fraction of the endpoint's cores in use
+	ServiceTime time.Duration // usual time to serve a request, without waiting
 	Throughput  float64       // requests served per second
 	ErrorRate   float64       // errors per second
 }
 
-// reportSampler finds out whether load reports are fresh, by health checks of
-// one endpoint a few times in a row. Reports that do not change as quickly as
-// they are used must not steer single requests: all balancers would send to
-// where load was low before.
+// reportSampler determines whether load reports are fresh: it makes a few
+// successive health checks of one endpoint and compares the reports. Reports
+// that change more slowly than they are used must not decide where single
+// requests go, because all balancers would send to endpoints whose load was low
+// some time ago.
 type reportSampler struct {
-	endpoint    *endpoint
-	nextAt      time.Duration
+	endpoint    *endpoint     // the sampled endpoint
+	nextAt      time.Duration // time of the next health check
 	comparisons int
 	changes     int // comparisons in which the report had changed
 }
 
-// done says that enough reports have been compared.
+// done reports whether enough load reports have been compared.
 func (s *reportSampler) done() bool { return s.comparisons >= comparisonsNeeded }
 
-// fresh says that reports may steer requests.
+// fresh reports whether load reports may decide where requests go.
 func (s *reportSampler) fresh() bool { return s.changes >= changesNeeded }
 
-// stale says that reports have turned out not to follow the load.
+// stale reports whether load reports have proved not to follow the load.
 func (s *reportSampler) stale() bool { return s.done() && !s.fresh() }
 
-// compared counts a comparison. It returns true if reports turn out fresh by it.
-func (s *reportSampler) compared(changed bool) bool {
+// recordComparison records whether a load report had changed. It returns true
+// if this comparison is the one that proves reports fresh.
+func (s *reportSampler) recordComparison(changed bool) bool {
 	s.comparisons++
 	if !changed {
 		return false
@@ -76,13 +90,13 @@
 	return s.changes == changesNeeded
 }
 
-// canReportLoad says that health checks may be made and bring the number of
-// requests in flight.
+// canReportLoad reports whether health checks are allowed and return the number
+// of requests in flight.
 func (b *Balancer) canReportLoad() bool {
 	return b.cfg.CanHealthCheck && b.cfg.ReportFields&HasInFlight != 0
 }
 
-// sampleReports makes the sampler's next health check when it is due.
+// sampleReports makes the sampler's next health check if it is due.
 func (b *Balancer) sampleReports(now time.Duration) {
 	s := &b.sampler
 	if s.done() || now < s.nextAt || len(b.subset.endpoints) == 0 || !b.canReportLoad() {
@@ -96,14 +110,15 @@
 	b.setTimer(now, reportLifetime)
 }
 
-// awaitReport asks the endpoint whose turn it is for a load report, where the
-// latest is too old, and has the request wait for it: among many balancers,
-// what this one has in flight there says next to nothing about the load.
+// awaitReport asks the next available endpoint for a load report if the latest
+// one is too old. It returns whether the request has to wait for the report.
+// Among many balancers, the attempts that this one has in flight at an endpoint
+// show hardly anything about the endpoint's load.
 func (b *Balancer) awaitReport(now time.Duration, r *request) bool {
 	if !b.canReportLoad() || !b.sampler.fresh() || r.healthChecks >= maxHealthChecks {
 		return false
 	}
-	e, _ := b.nextInTurn(now, r, b.subset.endpoints)
+	e, _ := b.nextAvailable(now, r, b.subset.endpoints)
 	if e == nil || (e.reportedAt > 0 && now-e.reportedAt < reportLifetime) {
 		return false
 	}
@@ -113,7 +128,8 @@
 	return true
 }
 
-// HealthChecked takes the result of a health check.
+// HealthChecked processes the result of a health check. If ok is false, the
+// health check failed and report is ignored.
 func (b *Balancer) HealthChecked(now time.Duration, id EndpointID, ok bool, report LoadReport) {
 	e := b.endpoints.find(id)
 	if e == nil {
@@ -127,7 +143,7 @@
 		e.reportedAt, e.report = now, report
 		e.othersInFlight = max(0, report.InFlight-float64(e.inFlight))
 	} else if b.sampler.fresh() {
-		e.reportMissing(now)
+		e.markReportMissing(now)
 	}
 	for _, r := range b.open {
 		if r.awaitedReport == e && !r.closed {
@@ -137,37 +153,39 @@
 	}
 }
 
-// compareReports compares a report of the sampled endpoint with the one
-// before. An endpoint that does not report is not fresh.
+// compareReports compares a load report of the sampled endpoint with the
+// previous one. An unusable report counts as unchanged.
 func (b *Balancer) compareReports(now time.Duration, e *endpoint, usable bool, report LoadReport) {
 	hasPrevious := e.reportedAt > 0 && now-e.reportedAt >= reportLifetime
 	if usable && !hasPrevious {
 		return
 	}
-	if b.sampler.compared(usable && report != e.report) {
+	if b.sampler.recordComparison(usable && report != e.report) {
 		b.subset.turnInterval *= freshSubsetFactor
 	}
 }
 
-// reportMissing marks an endpoint that does not report as full, so that the
-// turn is the next one's.
-func (e *endpoint) reportMissing(now time.Duration) {
+// markReportMissing marks an endpoint that did not report its load as full, so
+// that another endpoint is picked.
+func (e *endpoint) markReportMissing(now time.Duration) {
 	e.reportedAt, e.othersInFlight = now, math.Inf(1)
 }
 
-// expireReport has a request go on whose endpoint has not reported in time.
+// expireReport ends a request's wait for a load report that has not come in time.
 func (b *Balancer) expireReport(now time.Duration, r *request) {
 	if r.awaitedReport == nil || r.closed || now < r.reportDeadline {
 		return
 	}
-	r.awaitedReport.reportMissing(now)
+	r.awaitedReport.markReportMissing(now)
 	r.awaitedReport = nil
 	b.place(now, r)
 }
 
-// fullByReport says that an endpoint reports its part of all balancers'
-// requests or more, also in a report too old to send by; or that it has not
-// reported, and the request has waited for as many reports as it may.
+// fullByReport reports whether an endpoint is full: by its latest load report, it
+// has its share of all balancers' requests plus reportedHeadroom. A report counts
+// up to reportMaxAge, although awaitReport asks for a new one before that. An
+// endpoint without such a report is full for a request that has already waited
+// for maxHealthChecks reports. If reports are stale, no endpoint is full.
 func (b *Balancer) fullByReport(now time.Duration, r *request, e *endpoint) bool {
 	if b.sampler.stale() {
 		return false
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -117,7 +117,7 @@
 
 // Endpoints renewed their reports so seldom that all balancers saw the same old ones, and all sent to where load had
 // been low before. Requests wait for reports only where these change as quickly as they are used.
-func TestStaleReportsDoNotSteer(t *testing.T) {
+func TestOnlyFreshReportsAreAwaited(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		utilization func(now time.Duration) float64
@@ -179,7 +179,7 @@
 			var s reportSampler
 			becameFresh := -1
 			for i, changed := range c.changed {
-				if s.compared(changed) {
+				if s.recordComparison(changed) {
 					if becameFresh >= 0 {
 						t.Errorf("became fresh by comparison %d and again by %d", becameFresh, i)
 					}
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestReportsFull(t *testing.T) {
+func TestFullByReport(t *testing.T) {
 	const (
 		now  = time.Minute
 		part = 12.0 // of the only endpoint: all that the fleet has in flight at the quotas
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestIsOutlier(t *testing.T) {
+func TestEndpointIsOutlier(t *testing.T) {
 	for _, c := range []struct {
 		relativeLatency float64
 		want            bool
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -25,7 +25,7 @@
 }
 
 // An endpoint list without usable weights must not leave an endpoint without attempts.
-func TestUnusableWeightsCountEvenly(t *testing.T) {
+func TestUnusableWeightsAreEqual(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
 	for id := range RequestID(10) {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestPickerTaken(t *testing.T) {
+func TestPickerAdvance(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		virtualTime, turn float64
@@ -99,16 +99,16 @@
 		{"a late turn", 5, 3, 5, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, e := picker{virtualTime: c.virtualTime}, &endpoint{nextTurn: c.turn}
-			p.taken(e, 2)
-			if p.virtualTime != c.wantTime || e.nextTurn != c.next {
-				t.Errorf("virtual time %v, next turn %v; want %v and %v", p.virtualTime, e.nextTurn, c.wantTime, c.next)
+			p, e := picker{virtualTime: c.virtualTime}, &endpoint{nextPick: c.turn}
+			p.advance(e, 2)
+			if p.virtualTime != c.wantTime || e.nextPick != c.next {
+				t.Errorf("virtual time %v, next turn %v; want %v and %v", p.virtualTime, e.nextPick, c.wantTime, c.next)
 			}
 		})
 	}
 }
 
-func TestTurnGap(t *testing.T) {
+func TestStride(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		edit func(e *endpoint)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -62,7 +62,7 @@
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		for id := range EndpointID(endpoints) {
 			if id != restarted {
-				b.endpoints.find(id).nextTurn = math.Inf(1) // the restarted endpoint is always next
+				b.endpoints.find(id).nextPick = math.Inf(1) // the restarted endpoint is always next
 			}
 		}
 		b.UpdateEndpoints(restartedAt, DeltaUpdate, []Endpoint{{ID: restarted, State: Ready, Weight: 1, StartedAt: restartedAt}})
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,26 +6,32 @@
 )
 
 const (
-	turnInterval  = 1 * time.Second // each endpoint of the subset gets a turn this often
-	minSubsetSize = 4.0
-	// resizeTolerance is how far the wanted size may differ from the present
-	// one, as a fraction of that, before another subset is selected.
+	// pickInterval is how often each endpoint of the subset is to be picked.
+	turnInterval = 1 * time.Second
+
+	minSubsetSize = 4.0 // endpoints
+
+	// resizeTolerance is the largest difference between the wanted and the present
+	// size, as a fraction of the present size, for which the subset is kept.
 	resizeTolerance = 0.25
-	// maxSlowStartExtension bounds by how much a subset grows that has no
-	// endpoint but those in slow start: the few others must not be in all.
+
+	// maxSlowStartExtension is the factor by which a subset may grow to include an
+	// endpoint that is not in slow start. Without this bound, the few endpoints
+	// that are not in slow start would be in all subsets.
 	maxSlowStartExtension = 2
 )
 
-// subset is the endpoints that this balancer sends first attempts to. A thousand balancers of
-// little traffic each would hold connections to all endpoints and never learn
-// how any of them fares, so each uses a range of the endpoint list that its
-// own traffic can keep measured. The ranges begin evenly spread, by the
-// balancers' numbers.
+// subset is the part of the endpoint list to which this balancer sends first
+// attempts. If each of a thousand balancers with little traffic used all
+// endpoints, it would hold connections to all of them and get too few responses
+// from each to judge its health. So each balancer uses a range of the list that
+// is small enough for its own traffic to measure. The ranges start at evenly
+// spread positions, by the balancers' indexes.
 type subset struct {
 	endpoints    []*endpoint
-	weight       float64 // of all of them
-	size         float64 // how many are wanted
-	turnInterval float64 // seconds in which each gets a turn
+	weight       float64 // total weight of the endpoints
+	size         float64 // wanted number of endpoints
+	turnInterval float64 // intended time between two picks of an endpoint, in seconds
 }
 
 // sizeFor returns the wanted size at a request rate.
@@ -33,27 +39,28 @@
 	return max(minSubsetSize, requestsPerSecond*s.turnInterval)
 }
 
-// outgrown says that the size no longer fits the request rate.
+// needsResize reports whether the size no longer fits the request rate.
 func (s *subset) outgrown(requestsPerSecond float64) bool {
 	size := s.sizeFor(requestsPerSecond)
 	return size > (1+resizeTolerance)*s.size || size < (1-resizeTolerance)*s.size
 }
 
-// selectSubset selects the subset anew. Where all of its endpoints are in slow
-// start they can take next to nothing, so it goes on to the next endpoint that
-// is not, up to maxSlowStartExtension.
+// selectSubset selects the subset anew. Endpoints in slow start can take hardly
+// any requests. If the subset has no others, it is extended up to the next
+// endpoint that is not in slow start, within maxSlowStartExtension.
 func (b *Balancer) selectSubset(now time.Duration) {
 	s := &b.subset
 	s.size = s.sizeFor(b.traffic.perSecond)
 	ready := b.endpoints.ready()
+	// The fractional parts of multiples of the golden ratio are evenly spread.
 	_, start := math.Modf(float64(b.cfg.Index) * math.Phi)
 	first := int(start * float64(len(ready)))
 	s.weight, s.endpoints = 0, nil
-	hasWarm := false
+	hasEstablished := false // an endpoint that is not in slow start
 	for i := range ready {
 		e := ready[(first+i)%len(ready)]
 		size := s.size
-		if !hasWarm {
+		if !hasEstablished {
 			size *= maxSlowStartExtension
 		}
 		if float64(i) >= size {
@@ -61,17 +68,17 @@
 			continue
 		}
 		if !e.inSubset {
-			b.joinSubset(now, e)
+			b.addToSubset(now, e)
 		}
-		hasWarm = hasWarm || now >= e.slowStartUntil
+		hasEstablished = hasEstablished || now >= e.slowStartUntil
 		s.weight += e.Weight
 		s.endpoints = append(s.endpoints, e)
 	}
 }
 
-// joinSubset gives an endpoint its first turn at a random point of its round:
-// balancers must not begin in step.
-func (b *Balancer) joinSubset(now time.Duration, e *endpoint) {
+// addToSubset makes an endpoint due for its first pick at a random time within
+// its stride, so that balancers do not all pick the same endpoints first.
+func (b *Balancer) addToSubset(now time.Duration, e *endpoint) {
 	e.inSubset = true
-	e.nextTurn = b.picker.virtualTime + b.rng.Float64()*b.stride(now, e)
+	e.nextPick = b.picker.virtualTime + b.rng.Float64()*b.stride(now, e)
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -8,7 +8,7 @@
 
 // A balancer of little traffic that used all endpoints held connections to all of them, and learned too late that one
 // did not respond. Its subset has to follow its traffic, and all subsets together have to load all endpoints alike.
-func TestSubsetsFollowTrafficAndCoverTheList(t *testing.T) {
+func TestSubsetsFollowTrafficAndCoverAllEndpoints(t *testing.T) {
 	const balancers, endpoints = 600, 100
 	subsets := map[EndpointID]int{} // that an endpoint is in
 	cfg := testConfig()
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -6,59 +6,64 @@
 	"time"
 )
 
-// UpdateKind says how the entries of an endpoint update apply.
+// UpdateKind specifies how the entries of an endpoint update apply.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
 	FullUpdate   UpdateKind = iota // all endpoints; one that is absent is removed
 	DeltaUpdate                    // changed entries only
-	CachedUpdate                   // all endpoints as last known, maybe stale
+	CachedUpdate                   // all endpoints as last known; the list may be out of date
 	UpdateFailed                   // the call failed or the watch broke; no entries
 )
 
 const (
-	// The list is polled again this long after the first failure, then twice
-	// as long after each, up to maxBackoff. A change counts as notified 6 s
-	// after discovery can be reached again, and most of that is left for its
-	// response.
-	initialBackoff      = 250 * time.Millisecond
-	maxBackoff          = 1 * time.Second
-	maxBackoffDoublings = 16
-	// Where no update comes, the list is polled again after this, or well
-	// before Config.PollInterval is over.
+	// initialBackoff is the time to the next poll after the first failure. It
+	// doubles with each further failure, up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+
+	// maxBackoff is short because a change counts as notified 6 s after discovery
+	// can be reached again, and most of that time has to be left for its response.
+	maxBackoff = 1 * time.Second
+
+	maxBackoffDoublings = 16 // keeps the doubled backoff from overflowing
+
+	// defaultPollInterval is the time to the next poll if no update comes and
+	// Config.PollInterval is unknown. If it is known, the next poll comes well
+	// before the end of that interval.
 	defaultPollInterval = 4 * maxBackoff
 )
 
-// endpointWatch decides when the endpoint list is polled.
+// endpointWatch determines when the endpoint list is polled.
 type endpointWatch struct {
-	pollAt   time.Duration // 0: not scheduled
-	polledAt time.Duration
-	failures int // in a row
+	pollAt   time.Duration // time of the next poll; 0: not scheduled
+	polledAt time.Duration // time of the latest poll
+	failures int           // consecutive failures
 }
 
-// failed schedules a poll after a failure. Backoffs count from one call's
-// start to the next's, so that a call that hung is not waited for twice.
-func (w *endpointWatch) failed(now, minBackoff, backoff time.Duration) {
+// recordFailure schedules the next poll after a failure. The backoff is counted
+// from the start of the failed call, so that the time for which a call hung is
+// not added to it. The poll comes at least minBackoff after the failure.
+func (w *endpointWatch) recordFailure(now, minBackoff, backoff time.Duration) {
 	w.pollAt = max(now+minBackoff, w.polledAt+backoff)
 	w.failures++
 }
 
-// succeeded is called when an update has come: nothing has to be polled.
-func (w *endpointWatch) succeeded() { w.pollAt, w.failures = 0, 0 }
+// recordUpdate cancels the scheduled poll, because an update has come.
+func (w *endpointWatch) recordUpdate() { w.pollAt, w.failures = 0, 0 }
 
-// shouldPoll says that it is time to poll.
+// shouldPoll reports whether the scheduled poll is due.
 func (w *endpointWatch) shouldPoll(now time.Duration) bool { return w.pollAt > 0 && now >= w.pollAt }
 
-// UpdateEndpoints takes an update of the endpoint list, or that a call for it
-// failed.
+// UpdateEndpoints applies an update of the endpoint list. UpdateFailed reports
+// that a call for the list failed.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	if kind == UpdateFailed {
-		b.watch.failed(now, b.backoff(0), b.backoff(b.watch.failures))
+		b.watch.recordFailure(now, b.backoff(0), b.backoff(b.watch.failures))
 		return
 	}
 	if kind != CachedUpdate && b.cfg.PollsEndpoints {
-		b.watch.succeeded()
+		b.watch.recordUpdate()
 	}
 	if kind != DeltaUpdate {
 		b.endpoints.markAllRemoved()
@@ -71,13 +76,14 @@
 	}
 	b.updateSizes(now)
 	b.selectSubset(now)
-	b.drawFirstSlowStartSends(now, started)
+	b.scheduleFirstSlowStartSends(now, started)
 	b.serveQueues(now)
 }
 
-// updateSizes brings up to date what follows from the number of endpoints. Where
-// no quotas are known that is all there is to go by: the bulkheads grow with the
-// largest list so far, as the first may be empty or old.
+// updateSizes recomputes what depends on the number of endpoints. If quotas are
+// unknown, this number is the only measure of capacity, and the bulkheads are
+// sized for the largest list so far, because the first list may be empty or out
+// of date.
 func (b *Balancer) updateSizes(now time.Duration) {
 	before := b.endpoints.maxReady
 	b.endpoints.update()
@@ -86,15 +92,16 @@
 	}
 	b.sizeBulkheads()
 	if before == 0 {
+		// At this request rate, the subset includes all endpoints.
 		b.traffic.assume(now, float64(b.endpoints.maxReady)/b.subset.turnInterval)
 	}
 }
 
-// applyEntry applies one entry of the endpoint list. newStart tells whether the
-// entry tells of a start later than the one known.
+// applyEntry applies one entry of the endpoint list. newStart reports whether
+// the entry gives a later start than the one known.
 func (b *Balancer) applyEntry(now time.Duration, entry Endpoint) (e *endpoint, newStart bool) {
 	if !(entry.Weight > 0) || math.IsInf(entry.Weight, 0) {
-		entry.Weight = 1 // no usable weights: even turns
+		entry.Weight = 1 // without usable weights, endpoints are picked equally often
 	}
 	e = b.endpoints.findOrAdd(entry.ID)
 	newStart = entry.StartedAt > 0 && entry.StartedAt > e.StartedAt
@@ -108,15 +115,16 @@
 	return e, newStart
 }
 
-// poll subscribes to the endpoint list.
+// poll subscribes to the endpoint list, and schedules another poll in case no
+// update comes.
 func (b *Balancer) poll(now time.Duration) {
 	b.watch.polledAt = now
 	b.watch.pollAt = now + cmp.Or(b.cfg.PollInterval*3/4, defaultPollInterval)
 	b.host.WatchEndpoints()
 }
 
-// backoff returns the pause after a number of failures, with jitter so that
-// balancers do not call all at once.
+// backoff returns the backoff after a number of failures. It has jitter, so that
+// balancers do not poll at the same time.
 func (b *Balancer) backoff(failures int) time.Duration {
 	pause := initialBackoff << min(failures, maxBackoffDoublings)
 	pause = min(pause, maxBackoff, cmp.Or(b.cfg.PollInterval, maxBackoff))
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -91,14 +91,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := endpointWatch{polledAt: c.polledAt}
-			w.failed(now, 500*ms, 2*time.Second)
+			w.recordFailure(now, 500*ms, 2*time.Second)
 			if w.pollAt != c.want || w.failures != 1 {
 				t.Errorf("polls at %v after %d failures, want %v after 1", w.pollAt, w.failures, c.want)
 			}
 			if w.shouldPoll(c.want-1) || !w.shouldPoll(c.want) {
 				t.Errorf("due just before: %v, at the time: %v; want false and true", w.shouldPoll(c.want-1), w.shouldPoll(c.want))
 			}
-			w.succeeded()
+			w.recordUpdate()
 			if w.shouldPoll(time.Hour) || w.failures != 0 {
 				t.Errorf("due after an update: %v, %d failures; want false and 0", w.shouldPoll(time.Hour), w.failures)
 			}
