--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// ids returns the ids of endpoints.
+// ids returns the ids of endpoints, in order.
 func ids(endpoints []*endpoint) (ids []EndpointID) {
 	for _, e := range endpoints {
 		ids = append(ids, e.ID)
@@ -13,7 +13,7 @@
 	return ids
 }
 
-// endpointSetOf makes a set of endpoints with these states and weights.
+// endpointSetOf returns a set that holds the given entries, without those that are removed.
 func endpointSetOf(entries ...Endpoint) *endpointSet {
 	s := new(endpointSet)
 	for _, entry := range entries {
@@ -29,16 +29,17 @@
 		s.findOrAdd(id).ID = id
 	}
 	if got := ids(s.all); !slices.Equal(got, []EndpointID{2, 5, 9}) {
-		t.Fatalf("endpoints %v, want 2 5 9, each once", got)
+		t.Fatalf("endpoints = %v, want [2 5 9]", got)
 	}
 	for _, e := range s.all {
 		if e.relativeLatency != 1 || s.find(e.ID) != e || s.findOrAdd(e.ID) != e {
-			t.Errorf("endpoint %d: relative latency %v, want 1; found: %v", e.ID, e.relativeLatency, s.find(e.ID) == e)
+			t.Errorf("endpoint %d: relativeLatency = %v, want 1; find returns the endpoint: %v, want true",
+				e.ID, e.relativeLatency, s.find(e.ID) == e)
 		}
 	}
 	for _, id := range []EndpointID{0, 3, 10} {
 		if e := s.find(id); e != nil {
-			t.Errorf("endpoint %d found for %d, which is not listed", e.ID, id)
+			t.Errorf("find = endpoint %d for id %d, want nil for an id that is not listed", e.ID, id)
 		}
 	}
 }
@@ -47,23 +48,24 @@
 	s := endpointSetOf(Endpoint{ID: 1, State: Ready, Weight: 3}, Endpoint{ID: 2, State: Draining, Weight: 5},
 		Endpoint{ID: 3, State: Ready, Weight: 1}, Endpoint{ID: 4, State: Removed, Weight: 7})
 	if got := ids(s.all); !slices.Equal(got, []EndpointID{1, 2, 3}) {
-		t.Errorf("endpoints %v, want all but the removed: 1 2 3", got)
+		t.Errorf("endpoints = %v, want [1 2 3], without the removed one", got)
 	}
 	if got := ids(s.ready()); !slices.Equal(got, []EndpointID{1, 3}) {
-		t.Errorf("ready endpoints %v, want 1 3", got)
+		t.Errorf("ready endpoints = %v, want [1 3]", got)
 	}
 	if s.readyWeight != 4 || s.maxReadyWeight != 4 || s.maxReady != 2 {
-		t.Errorf("ready weight %v, highest %v, highest number %d; want 4, 4 and 2", s.readyWeight, s.maxReadyWeight, s.maxReady)
+		t.Errorf("readyWeight, maxReadyWeight, maxReady = %v, %v, %d, want 4, 4, 2",
+			s.readyWeight, s.maxReadyWeight, s.maxReady)
 	}
 	s.find(1).State = Draining
 	s.update()
 	if s.readyWeight != 1 || s.maxReadyWeight != 4 || s.maxReady != 2 {
-		t.Errorf("with one drained: ready weight %v, highest %v, highest number %d; want 1, 4 and 2",
+		t.Errorf("with one endpoint draining: readyWeight, maxReadyWeight, maxReady = %v, %v, %d, want 1, 4, 2",
 			s.readyWeight, s.maxReadyWeight, s.maxReady)
 	}
 	s.markAllRemoved()
 	if s.update(); len(s.all) != 0 || s.readyWeight != 0 {
-		t.Errorf("%d endpoints and weight %v after all were removed, want none", len(s.all), s.readyWeight)
+		t.Errorf("after removing all: %d endpoints with a ready weight of %v, want none", len(s.all), s.readyWeight)
 	}
 }
 
@@ -71,12 +73,12 @@
 	for _, c := range []struct {
 		name    string
 		removed []EndpointID
-		weight  float64 // of the endpoint
-		want    float64 // of 12
+		weight  float64 // weight of the endpoint
+		want    float64 // its share of 12
 	}{
 		{"by weight", nil, 1, 2},
 		{"does not grow with removals", []EndpointID{2}, 1, 2},
-		{"heavier than all ready ones ever", nil, 8, 12},
+		{"weight above the highest total so far", nil, 8, 12},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := endpointSetOf(Endpoint{ID: 1, State: Ready, Weight: 4}, Endpoint{ID: 2, State: Ready, Weight: 2})
@@ -85,7 +87,7 @@
 			}
 			s.update()
 			if got := s.proportion(12, &endpoint{Endpoint: Endpoint{Weight: c.weight}}); got != c.want {
-				t.Errorf("proportion %v of 12, want %v", got, c.want)
+				t.Errorf("proportion of 12 = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -89,8 +89,8 @@
 	return math.Exp(-float64(now-g.decayedAt) / float64(g.objective.times(sampleHorizon)))
 }
 
-// addFleetSamples adds ended attempts of this balancer or of a peer. congestion
-// is their mean.
+// addFleetSamples adds ended attempts of this balancer or of a peer, with their
+// mean congestion.
 func (g *gossip) addFleetSamples(now time.Duration, responses, congestion float64) {
 	factor := g.decay(now)
 	g.decayedAt = now
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -28,8 +28,8 @@
 	// have proved fresh, because they then show which of its endpoints are free.
 	freshSubsetFactor = 3
 
-	// reportedHeadroom is how many requests an endpoint must have beyond its share
-	// of all balancers' requests to count as full.
+	// reportedHeadroom is how many requests beyond its share of all balancers'
+	// requests an endpoint must have to count as full.
 	reportedHeadroom = 2.0
 )
 
@@ -128,8 +128,9 @@
 	return true
 }
 
-// HealthChecked processes the result of a health check. If ok is false, the
-// health check failed and report is ignored.
+// HealthChecked processes the result of a health check. If the health check
+// failed (ok is false), or report lacks the number of requests in flight, the
+// load report counts as missing.
 func (b *Balancer) HealthChecked(now time.Duration, id EndpointID, ok bool, report LoadReport) {
 	e := b.endpoints.find(id)
 	if e == nil {
@@ -182,10 +183,11 @@
 }
 
 // fullByReport reports whether an endpoint is full: by its latest load report, it
-// has its share of all balancers' requests plus reportedHeadroom. A report counts
-// up to reportMaxAge, although awaitReport asks for a new one before that. An
-// endpoint without such a report is full for a request that has already waited
-// for maxHealthChecks reports. If reports are stale, no endpoint is full.
+// has at least its share of all balancers' requests plus reportedHeadroom. A
+// report counts up to reportMaxAge, although awaitReport asks for a new one
+// before that. An endpoint without such a report is full for a request that has
+// already waited for maxHealthChecks reports. If reports are stale, no endpoint
+// is full.
 func (b *Balancer) fullByReport(now time.Duration, r *request, e *endpoint) bool {
 	if b.sampler.stale() {
 		return false
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An endpoint that hung went on to get its even part of the attempts, and each of them had a slot until its timeout.
+// If an endpoint that hangs kept its equal share of the attempts, each of these would use a slot until its
+// timeout.
 func TestUnresponsiveEndpointGetsFewAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3))
 	now := time.Duration(0)
@@ -25,16 +26,16 @@
 		}
 	}
 	if n := h.sentTo(1); n > 60 {
-		t.Fatalf("an endpoint that never responded got %d of 300 first attempts, want at most 60", n)
+		t.Fatalf("first attempts at the unresponsive endpoint = %d of 300, want at most 60", n)
 	}
 	if len(h.log) != 1 {
-		t.Fatalf("logged %v, want one event", h.log)
+		t.Fatalf("logged events = %v, want one", h.log)
 	}
 }
 
-// Endpoints were replaced all the time, and one of them rejected everything at once. So it never had anything in flight
-// and seemed to have capacity by every measure, while the others were full: most requests were sent there, three times
-// each. It has to be ejected, and to get attempts again once it has recovered.
+// An endpoint that rejects everything immediately never has attempts in flight, so it appears to have free
+// capacity while the other endpoints are full. While endpoints were being replaced, most requests were sent
+// to such an endpoint, three times each. It must be ejected, and get attempts again once it has recovered.
 func TestRejectingEndpointIsEjected(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	rejected, served := 0, 0
@@ -52,7 +53,8 @@
 		}
 	}
 	if rejected > 15 || served != 200 {
-		t.Fatalf("%d attempts rejected in 2 s, %d of 200 requests served; want at most 15 and all", rejected, served)
+		t.Fatalf("attempts rejected in 2 s = %d, requests served = %d of 200, want at most 15, and all 200",
+			rejected, served)
 	}
 	for id := RequestID(300); id < 400; id++ {
 		now := 3*time.Second + time.Duration(id)*10*ms
@@ -60,12 +62,12 @@
 		finish(b, now, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1) - rejected; n < 4 {
-		t.Fatalf("%d of 100 attempts at the endpoint once it has recovered, want at least 4", n)
+		t.Fatalf("attempts at the recovered endpoint = %d of 100, want at least 4", n)
 	}
 }
 
-// An endpoint that fails what it gets, in whatever way, must not keep its even part of the attempts. Once it has
-// recovered it must get them again, or capacity would be lost for good.
+// An endpoint whose attempts fail, with whatever result, must not keep its equal share of the attempts. Once
+// it has recovered it must get them again, or its capacity would be lost permanently.
 func TestOutlierGetsFewAttemptsAndRecovers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -80,7 +82,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 			now, id := time.Duration(0), RequestID(0)
-			// run submits requests, and returns how many attempts endpoint 1 got: they all have this result.
+			// run submits requests and returns how many attempts endpoint 1 got. These end with the result
+			// atEndpoint1.
 			run := func(requests int, atEndpoint1 Result) int {
 				before := h.sentTo(1)
 				for range requests {
@@ -102,11 +105,11 @@
 				return h.sentTo(1) - before
 			}
 			if n := run(400, c.result); n > 40 {
-				t.Errorf("an endpoint that always fails got %d of 400 attempts, want at most 40; evenly 100", n)
+				t.Errorf("attempts at the failing endpoint = %d of 400, want at most 40 (an equal share is 100)", n)
 			}
 			run(200, Succeeded)
 			if n := run(100, Succeeded); n < 12 {
-				t.Errorf("once recovered it got %d of 100 attempts, want at least 12; evenly 25", n)
+				t.Errorf("attempts at the recovered endpoint = %d of 100, want at least 12 (an equal share is 25)", n)
 			}
 		})
 	}
@@ -121,7 +124,7 @@
 			want += now
 		}
 		if e.ejectedUntil != want {
-			t.Errorf("failure %d: ejected until %v, want %v", failure+1, e.ejectedUntil, want)
+			t.Errorf("failure %d: ejectedUntil = %v, want %v", failure+1, e.ejectedUntil, want)
 		}
 	}
 }
@@ -134,7 +137,7 @@
 		t.Run(fmt.Sprintf("relative latency %v", c.relativeLatency), func(t *testing.T) {
 			e := &endpoint{relativeLatency: c.relativeLatency}
 			if got := e.isOutlier(); got != c.want {
-				t.Errorf("outlier: %v, want %v", got, c.want)
+				t.Errorf("isOutlier = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/picker_test.go
+++ b/policy/picker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Endpoints differ in size. One of twice the weight has to get twice the attempts, or the small ones are overloaded.
+// Endpoints differ in capacity. If attempts did not follow the weights, small endpoints would be overloaded.
 func TestRoundRobinFollowsWeights(t *testing.T) {
 	list := ready(1, 2, 3)
 	list[2].Weight = 2
@@ -17,14 +17,15 @@
 		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
-		t.Fatalf("attempts %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
+		t.Fatalf("attempts at endpoints 1, 2, 3 = %d, %d, %d, want 10, 10, 20, each give or take 1",
+			h.sentTo(1), h.sentTo(2), h.sentTo(3))
 	}
 	if c := b.Counters(); c.RoundRobinSends != 40 {
-		t.Fatalf("%d sends counted as round robin, want 40", c.RoundRobinSends)
+		t.Fatalf("RoundRobinSends = %d, want 40", c.RoundRobinSends)
 	}
 }
 
-// An endpoint list without usable weights must not leave an endpoint without attempts.
+// Weights that are zero or not a number must not leave an endpoint without attempts.
 func TestUnusableWeightsAreEqual(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready}, {ID: 2, State: Ready, Weight: math.NaN()}}
 	b, h := start(t, testConfig(), list)
@@ -34,12 +35,12 @@
 		finish(b, now+10*ms, id, 0, Succeeded)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
-		t.Fatalf("attempts %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
+		t.Fatalf("attempts at endpoints 1, 2 = %d, %d, want 5, 5", h.sentTo(1), h.sentTo(2))
 	}
 }
 
-// A zone may have more traffic than its own endpoints can bear, so other zones' endpoints get attempts too. Crossing
-// has a cost, so they get fewer.
+// A zone may have more traffic than its own endpoints can serve, so endpoints of other zones must get
+// attempts too. They get fewer, because crossing zones has a cost.
 func TestCrossZoneEndpointsGetFewerAttempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZoneCost, cfg.Zone = 0.02, 1
@@ -50,14 +51,15 @@
 		submit(b, time.Duration(id)*20*ms, id, idempotentClass)
 		finish(b, time.Duration(id)*20*ms+5*ms, id, 0, Succeeded)
 	}
-	crossed := h.sentTo(1) + h.sentTo(2)
-	if crossed < 50 || crossed > 70 || b.Counters().CrossZoneSends != uint64(crossed) {
-		t.Fatalf("%d of 300 sends crossed zones, %d counted; want a fifth", crossed, b.Counters().CrossZoneSends)
+	crossZone := h.sentTo(1) + h.sentTo(2)
+	if crossZone < 50 || crossZone > 70 || b.Counters().CrossZoneSends != uint64(crossZone) {
+		t.Fatalf("cross-zone sends = %d of 300, CrossZoneSends = %d, want a fifth of all in both",
+			crossZone, b.Counters().CrossZoneSends)
 	}
 }
 
-// A thousand balancers that started together all sent first to the endpoints of the highest weight, and the same
-// endpoints were overloaded everywhere within 1.3 s. First attempts must spread over a fleet by weight.
+// If a thousand balancers that start together all send first to the endpoints of the highest weight, these
+// endpoints are overloaded within 1.3 s. First attempts must spread over all endpoints by weight.
 func TestFirstAttemptsSpreadOverFleet(t *testing.T) {
 	const balancers, endpoints = 1200, 60
 	sent := map[EndpointID]int{}
@@ -85,24 +87,26 @@
 	}
 	// By weight, 300 go to the light endpoints and 30 to each heavy one.
 	if light < balancers/6 || light > balancers/3 || highest > 60 {
-		t.Fatalf("first sends: %d to light endpoints, %d to heavy ones, at most %d to one", light, heavy, highest)
+		t.Fatalf("first sends = %d light, %d heavy, at most %d to one endpoint, want 200 to 400 light, at most 60 to one",
+			light, heavy, highest)
 	}
 }
 
 func TestPickerAdvance(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		virtualTime, turn float64
-		wantTime, next    float64
+		name               string
+		virtualTime, due   float64
+		wantTime, wantNext float64
 	}{
-		{"in turn", 5, 6, 6, 8},
-		{"a late turn", 5, 3, 5, 7},
+		{"picked when due", 5, 6, 6, 8},
+		{"picked late", 5, 3, 5, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p, e := picker{virtualTime: c.virtualTime}, &endpoint{nextPick: c.turn}
+			p, e := picker{virtualTime: c.virtualTime}, &endpoint{nextPick: c.due}
 			p.advance(e, 2)
-			if p.virtualTime != c.wantTime || e.nextPick != c.next {
-				t.Errorf("virtual time %v, next turn %v; want %v and %v", p.virtualTime, e.nextPick, c.wantTime, c.next)
+			if p.virtualTime != c.wantTime || e.nextPick != c.wantNext {
+				t.Errorf("virtualTime, nextPick = %v, %v, want %v, %v",
+					p.virtualTime, e.nextPick, c.wantTime, c.wantNext)
 			}
 		})
 	}
@@ -114,13 +118,13 @@
 		edit func(e *endpoint)
 		want float64
 	}{
-		{"as usual", func(*endpoint) {}, 1},
+		{"class mean latency", func(*endpoint) {}, 1},
 		{"twice the weight", func(e *endpoint) { e.Weight = 2 }, 0.5},
 		{"four times the latency", func(e *endpoint) { e.relativeLatency = 4 }, 8},
-		{"slower still", func(e *endpoint) { e.relativeLatency = 7 }, 8},
-		{"a quarter of the latency", func(e *endpoint) { e.relativeLatency = 0.25 }, math.Pow(0.5, 1.5)},
-		{"other zone", func(e *endpoint) { e.Zone = 2 }, 4},
-		{"in the middle of slow start", func(e *endpoint) { e.slowStartUntil = 4 * time.Second }, 1 / 0.65},
+		{"latency above the outlier bound", func(e *endpoint) { e.relativeLatency = 7 }, 8},
+		{"latency below the lower bound", func(e *endpoint) { e.relativeLatency = 0.25 }, math.Pow(0.5, 1.5)},
+		{"another zone", func(e *endpoint) { e.Zone = 2 }, 4},
+		{"halfway through slow start", func(e *endpoint) { e.slowStartUntil = 4 * time.Second }, 1 / 0.65},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
@@ -129,7 +133,7 @@
 			e := b.endpoints.find(1)
 			c.edit(e)
 			if got := b.stride(0, e); math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("gap %v, want %v", got, c.want)
+				t.Errorf("stride = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A restarted endpoint was given its whole part of the traffic at once, and failed. In slow start all balancers together
-// must stay below what it can bear, so each of them stays below its even part of that. It has its whole part in the end.
+// If a restarted endpoint gets its full share of the traffic at once, it is overloaded and fails. During slow
+// start, all balancers together must stay below what the endpoint can serve, so each balancer stays below an
+// equal share of that. After slow start, the endpoint must get its full share.
 func TestSlowStartOfRestartedEndpoint(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		t.Run(fmt.Sprintf("balancers=%d", balancers), func(t *testing.T) {
@@ -29,20 +30,21 @@
 					inFirstSecond++
 				}
 			}
-			// Its capacity by the quotas is half of 100 a second, 0.3 of that at its start; it bears 3 times that.
+			// By the quotas, the capacity of the endpoint is half of 100 requests per second. At its start it
+			// has 0.3 of that, and it fails above 3 times the capacity that it has.
 			budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
 			if n := float64(inFirstSecond); n == 0 || n > budget {
-				t.Errorf("%v sends in the first second, want 1 to %.1f", n, budget)
+				t.Errorf("sends in the first second = %v, want 1 to %.1f", n, budget)
 			}
 			if h.sentTo(1) < 500 {
-				t.Errorf("%d sends in all, want at least 500, as slow start is over after 8 s", h.sentTo(1))
+				t.Errorf("sends in 10 s = %d, want at least 500, because slow start ends after 8 s", h.sentTo(1))
 			}
 		})
 	}
 }
 
-// Hundreds of balancers each sent one request to a restarted endpoint as soon as the list named it, and overloaded it
-// within a second. Their first sends have to be spread too.
+// If hundreds of balancers each send one request to a restarted endpoint as soon as the endpoint list names
+// it, they overload it within a second. Their first sends must be spread over time too.
 func TestSlowStartOverManyBalancers(t *testing.T) {
 	const (
 		balancers, endpoints = 400, 40
@@ -52,7 +54,7 @@
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
 	cfg.Tenants = []Tenant{{Weight: 1, Quota: 4 * balancers}}
-	var sentAt []time.Duration // to the restarted endpoint
+	var sentAt []time.Duration // times of the sends to the restarted endpoint
 	for n := range balancers {
 		cfg.Index = n
 		list := ready()
@@ -82,7 +84,8 @@
 			}
 		}
 	}
-	// It can do 40 a second after slow start, 0.3 of that at first; three times that for a second is the limit.
+	// The endpoint can serve 40 requests per second after slow start, and 0.3 of that at its start. It fails
+	// if it gets more than three times what it can serve during a second.
 	for from := restartedAt; from < 13*time.Second; from += 100 * ms {
 		sends := 0
 		for _, at := range sentAt {
@@ -92,16 +95,17 @@
 		}
 		capacityFraction := 0.3 + 0.7*(from-restartedAt).Seconds()/8
 		if limit := 3 * 40 * capacityFraction; float64(sends) > limit {
-			t.Fatalf("%d sends to the restarted endpoint in the second from %v, want at most %.0f", sends, from, limit)
+			t.Fatalf("sends to the restarted endpoint = %d in the second from %v, want at most %.0f",
+				sends, from, limit)
 		}
 	}
 	if len(sentAt) < 20 {
-		t.Fatalf("%d sends to the restarted endpoint, want at least 20 for the test to show anything", len(sentAt))
+		t.Fatalf("sends to the restarted endpoint = %d, want at least 20 for a meaningful test", len(sentAt))
 	}
 }
 
-// An endpoint that responds again after a long silence may have restarted before the list says so. Without a slow start
-// it got its whole part of the traffic at once, and failed again.
+// An endpoint that responds again after a long silence may have restarted although the endpoint list does not
+// show it yet. Without a slow start, it would get its full share of the traffic at once and fail again.
 func TestSlowStartAfterSilence(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	submit(b, 0, 1, nonIdempotentClass)
@@ -113,22 +117,23 @@
 	submit(b, 3*time.Second, 3, nonIdempotentClass)
 	finish(b, 3100*ms, 3, 0, Succeeded)
 	if until := b.endpoints.find(1).slowStartUntil; until != 3100*ms+8*time.Second || len(h.log) == 0 {
-		t.Fatalf("slow start until %v, want 8 s after the response; logged %v, want an event", until, h.log)
+		t.Fatalf("slowStartUntil = %v, want 8 s after the response; logged events = %v, want at least one",
+			until, h.log)
 	}
 }
 
 func TestCapacityFraction(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		atStart   float64
-		remaining time.Duration // of a slow start of 8 s
+		atStart   float64       // Config.SlowStartFraction
+		remaining time.Duration // remaining time of a slow start of 8 s
 		want      float64
 	}{
 		{"at its start", 0.3, 8 * time.Second, 0.3},
 		{"halfway", 0.3, 4 * time.Second, 0.65},
 		{"at its end", 0.3, 0, 1},
 		{"later", 0.3, -time.Second, 1},
-		{"starts with nothing", 0, 8 * time.Second, 0.05},
+		{"starts with no capacity", 0, 8 * time.Second, 0.05},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const now = time.Minute
@@ -138,7 +143,7 @@
 			e := b.endpoints.find(1)
 			e.slowStartUntil = now + c.remaining
 			if got := b.capacityFraction(now, e); math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("capacity fraction %v, want %v", got, c.want)
+				t.Errorf("capacityFraction = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// A balancer of little traffic that used all endpoints held connections to all of them, and learned too late that one
-// did not respond. Its subset has to follow its traffic, and all subsets together have to load all endpoints alike.
+// A balancer with little traffic that uses all endpoints holds connections to all of them, and detects an
+// unresponsive endpoint too late. The size of a subset must follow the balancer's traffic, and all subsets
+// together must cover all endpoints evenly.
 func TestSubsetsFollowTrafficAndCoverAllEndpoints(t *testing.T) {
 	const balancers, endpoints = 600, 100
-	subsets := map[EndpointID]int{} // that an endpoint is in
+	subsets := map[EndpointID]int{} // number of subsets that include the endpoint
 	cfg := testConfig()
 	cfg.Balancers = balancers
 	cfg.Tenants = []Tenant{{Weight: 1, Quota: 9 * balancers}}
@@ -21,33 +22,35 @@
 			list = append(list, Endpoint{ID: id, State: Ready, Weight: 1})
 		}
 		b, _ := start(t, cfg, list)
-		if got := len(b.subset.endpoints); got != 9 { // 9 requests a second, a turn every second
-			t.Fatalf("a subset of %d endpoints, want 9", got)
+		// At 9 requests per second and balancer, 9 endpoints are picked once per second each.
+		if got := len(b.subset.endpoints); got != 9 {
+			t.Fatalf("subset size = %d, want 9", got)
 		}
 		for _, e := range b.subset.endpoints {
 			subsets[e.ID]++
 		}
 	}
 	for id, n := range subsets {
-		if n < 48 || n > 60 { // evenly 54
-			t.Errorf("endpoint %d is in %d subsets, want about 54", id, n)
+		if n < 48 || n > 60 { // an even spread is 54
+			t.Errorf("endpoint %d is in %d subsets, want 48 to 60", id, n)
 		}
 	}
 	if len(subsets) != endpoints {
-		t.Errorf("%d of %d endpoints are in a subset", len(subsets), endpoints)
+		t.Errorf("%d of %d endpoints are in a subset, want all", len(subsets), endpoints)
 	}
 	b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
-	for i := range 1200 { // ten times as much
+	for i := range 1200 { // 100 requests per second
 		submit(b, time.Duration(i)*10*ms, RequestID(i), idempotentClass)
 		finish(b, time.Duration(i)*10*ms+5*ms, RequestID(i), 0, Succeeded)
 	}
 	if got := len(b.subset.endpoints); got != 20 {
-		t.Fatalf("a balancer of much traffic has a subset of %d, want all 20", got)
+		t.Fatalf("subset size at 100 requests per second = %d, want all 20", got)
 	}
 }
 
-// In a burst of one tenant, all endpoints of a small subset reported that they were full, and requests were sent to
-// them all the same. Where reports are fresh, a larger subset finds endpoints with capacity.
+// In a burst of one tenant, all endpoints of a small subset reported that they were full, and requests were
+// sent to them nevertheless. Once load reports have proved fresh, the subset must grow, so that it includes
+// endpoints with free capacity.
 func TestSubsetGrowsWithFreshReports(t *testing.T) {
 	cfg := testConfig()
 	cfg.CanHealthCheck, cfg.ReportFields = true, HasInFlight|HasUtilization
@@ -65,31 +68,32 @@
 	b.traffic = requestRate{4, time.Second}
 	submit(b, time.Second, 1, idempotentClass)
 	if len(b.subset.endpoints) < 2*before {
-		t.Fatalf("a subset of %d, and of %d before reports were found fresh", len(b.subset.endpoints), before)
+		t.Fatalf("subset size = %d with fresh reports and %d before, want at least twice as many",
+			len(b.subset.endpoints), before)
 	}
 }
 
 func TestSubsetSize(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		rate     float64
-		size     float64
-		outgrown bool // by a subset of 8
+		name        string
+		rate        float64
+		size        float64
+		needsResize bool // whether a subset of size 8 needs a resize
 	}{
 		{"same size", 4, 8, false},
-		{"a quarter more", 5, 10, false},
-		{"more", 5.1, 10.2, true},
-		{"a quarter less", 3, 6, false},
-		{"less", 2.9, 5.8, true},
-		{"little traffic", 0.1, 4, true},
+		{"at the upper tolerance", 5, 10, false},
+		{"above the upper tolerance", 5.1, 10.2, true},
+		{"at the lower tolerance", 3, 6, false},
+		{"below the lower tolerance", 2.9, 5.8, true},
+		{"minimum size", 0.1, 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := subset{turnInterval: 2, size: 8}
 			if got := s.sizeFor(c.rate); math.Abs(got-c.size) > 1e-9 {
-				t.Errorf("size %v, want %v", got, c.size)
+				t.Errorf("sizeFor = %v, want %v", got, c.size)
 			}
-			if got := s.outgrown(c.rate); got != c.outgrown {
-				t.Errorf("outgrown: %v, want %v", got, c.outgrown)
+			if got := s.outgrown(c.rate); got != c.needsResize {
+				t.Errorf("needsResize = %v, want %v", got, c.needsResize)
 			}
 		})
 	}
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// While discovery is down, a balancer has to poll it again and again, each time after a longer backoff, but often
-// enough that a change is noticed in time once discovery is back. Meanwhile it goes by the list it has.
+// While discovery cannot be reached, a balancer has to poll it repeatedly, with a growing backoff, but often
+// enough that a change is noticed in time once discovery can be reached again. Meanwhile the balancer uses
+// the list that it has.
 func TestPollsUntilNotified(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
 	b, h := start(t, cfg, ready(1))
 	if h.polls != 1 {
-		t.Fatalf("%d polls at the start, want 1", h.polls)
+		t.Fatalf("polls at the start = %d, want 1", h.polls)
 	}
 	backoffs, last, polls := []time.Duration{}, time.Duration(0), 1
 	b.UpdateEndpoints(0, UpdateFailed, nil)
@@ -27,22 +28,22 @@
 		}
 	}
 	if len(backoffs) < 4 || slices.Max(backoffs) >= cfg.PollInterval || backoffs[0] >= backoffs[len(backoffs)-1] {
-		t.Fatalf("backoffs %v: want them to grow, and none to reach %v", backoffs, cfg.PollInterval)
+		t.Fatalf("backoffs = %v, want at least 4, growing, and all below %v", backoffs, cfg.PollInterval)
 	}
 	if b.endpoints.find(1) == nil {
-		t.Fatal("a failed poll dropped the list")
+		t.Fatal("endpoint 1 is not listed after failed polls, want the previous list")
 	}
 	b.UpdateEndpoints(40*time.Second, FullUpdate, ready(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
 	if h.polls != polls {
-		t.Fatal("polls again though updates come")
+		t.Fatal("the list was polled again after an update")
 	}
 }
 
-// A poll that nobody answers, without an error, must be repeated: changes count as notified if a balancer does not poll
-// for the poll interval, and it would send to endpoints that had left.
+// A poll that gets neither an update nor an error must be repeated: once a balancer has not polled for the
+// poll interval, changes count as notified, and it would send requests to removed endpoints.
 func TestUnansweredPollIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
@@ -56,11 +57,11 @@
 		b.TimerFired(now)
 	}
 	if h.polls < 2 {
-		t.Fatalf("%d polls within the poll interval, want another before it is over", h.polls)
+		t.Fatalf("polls within the poll interval = %d, want at least 2", h.polls)
 	}
 }
 
-// Where the poll interval is not known, a balancer must neither poll at each timer nor never again.
+// If the poll interval is unknown, an unanswered poll must be repeated too, but not at each timer.
 func TestUnansweredPollIsRepeatedWithoutPollInterval(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints, cfg.PollInterval = true, 0
@@ -74,7 +75,7 @@
 		b.TimerFired(now)
 	}
 	if h.polls != 3 {
-		t.Fatalf("%d polls in 10 s, want one at the start and every 4 s", h.polls)
+		t.Fatalf("polls in 10 s = %d, want 3: one at the start and one every 4 s", h.polls)
 	}
 }
 
@@ -85,28 +86,31 @@
 		polledAt time.Duration
 		want     time.Duration
 	}{
-		{"the call failed at once", now, now + 2*time.Second},
-		{"the call took a second", now - time.Second, now + time.Second},
+		{"the call failed immediately", now, now + 2*time.Second},
+		{"the call took one second", now - time.Second, now + time.Second},
 		{"the call took longer than the backoff", now - time.Minute, now + 500*ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := endpointWatch{polledAt: c.polledAt}
 			w.recordFailure(now, 500*ms, 2*time.Second)
 			if w.pollAt != c.want || w.failures != 1 {
-				t.Errorf("polls at %v after %d failures, want %v after 1", w.pollAt, w.failures, c.want)
+				t.Errorf("pollAt, failures = %v, %d, want %v, 1", w.pollAt, w.failures, c.want)
 			}
 			if w.shouldPoll(c.want-1) || !w.shouldPoll(c.want) {
-				t.Errorf("due just before: %v, at the time: %v; want false and true", w.shouldPoll(c.want-1), w.shouldPoll(c.want))
+				t.Errorf("shouldPoll before pollAt = %v, at pollAt = %v, want false, true",
+					w.shouldPoll(c.want-1), w.shouldPoll(c.want))
 			}
 			w.recordUpdate()
 			if w.shouldPoll(time.Hour) || w.failures != 0 {
-				t.Errorf("due after an update: %v, %d failures; want false and 0", w.shouldPoll(time.Hour), w.failures)
+				t.Errorf("after an update: shouldPoll, failures = %v, %d, want false, 0",
+					w.shouldPoll(time.Hour), w.failures)
 			}
 		})
 	}
 }
 
-// Balancers must not poll in step, so each backoff has a random part: half of it either way.
+// Without jitter, balancers would all poll at the same time. Each backoff varies by half of it in both
+// directions.
 func TestBackoffGrowsWithJitter(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -131,7 +135,7 @@
 				lowest, highest = min(lowest, backoff), max(highest, backoff)
 			}
 			if lowest < c.mean/2 || lowest > c.mean*6/10 || highest < c.mean*14/10 || highest > c.mean*3/2 {
-				t.Errorf("backoffs from %v to %v, want about %v to %v", lowest, highest, c.mean/2, c.mean*3/2)
+				t.Errorf("backoffs range from %v to %v, want about %v to %v", lowest, highest, c.mean/2, c.mean*3/2)
 			}
 		})
 	}
