--- a/policy/admission.go
+++ b/policy/admission.go
@@ -41,17 +41,17 @@
 }
 
 // offered counts a request of a class that was shed, or an attempt that ended.
-func (a *admission) offered(c *class) { a.demand[c.index].offered++ }
+func (a *admission) recordOffered(c *class) { a.demand[c.index].offered++ }
 
 // succeeded counts a response that came before the request's objective. One
 // that took more than half of it counts in part: it warns of the next.
-func (a *admission) succeeded(now time.Duration, r *request) {
-	remaining := float64(r.objectiveAt - now)
+func (a *admission) recordSuccess(now time.Duration, r *request) {
+	remaining := float64(r.objectiveDeadline - now)
 	a.demand[r.class.index].goodput += min(1, 2*remaining/float64(r.class.LatencyObjective))
 }
 
 // fraction returns the fraction of a class's requests to admit; 1 or more: all.
-func (a *admission) fraction(now time.Duration, c *class) float64 {
+func (a *admission) admitFraction(now time.Duration, c *class) float64 {
 	a.decay(now)
 	capacity, samePriority := minAdmitted, 0.0
 	for i := range a.demand {
@@ -78,6 +78,6 @@
 
 // admit says whether a request may compete for a slot.
 func (b *Balancer) admit(now time.Duration, r *request) bool {
-	fraction := b.admission.fraction(now, r.class)
+	fraction := b.admission.admitFraction(now, r.class)
 	return fraction >= 1 || b.rng.Float64() < fraction
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -134,7 +134,7 @@
 	return admission{objective: 2, demand: demands}
 }
 
-func TestAdmissionFraction(t *testing.T) {
+func TestAdmitFraction(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		demands []classDemand
@@ -150,7 +150,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := admissionWith(c.demands...)
-			got := a.fraction(0, &class{Class: Class{PriorityWeight: c.demands[c.class].priority}, index: c.class})
+			got := a.admitFraction(0, &class{Class: Class{PriorityWeight: c.demands[c.class].priority}, index: c.class})
 			if math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("fraction %v, want %v", got, c.want)
 			}
@@ -159,7 +159,7 @@
 }
 
 // A response near its latency objective warns of the next, so it counts in part.
-func TestAdmissionCountsLateResponsesInPart(t *testing.T) {
+func TestAdmissionGoodputNearObjective(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		remaining time.Duration // of an objective of 800 ms
@@ -174,7 +174,7 @@
 			a := admissionWith(classDemand{}, classDemand{})
 			const now = 5 * time.Second
 			cl := &class{Class: Class{LatencyObjective: 800 * ms}, index: 1}
-			a.succeeded(now, &request{class: cl, objectiveAt: now + c.remaining})
+			a.recordSuccess(now, &request{class: cl, objectiveDeadline: now + c.remaining})
 			if got := a.demand[1].goodput; got != c.want || a.demand[0].goodput != 0 {
 				t.Errorf("goodput %v, and %v of another class; want %v and 0", got, a.demand[0].goodput, c.want)
 			}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -12,7 +12,7 @@
 
 	// initialLatency is the mean latency assumed before the first response, as
 	// a part of the latency objective.
-	initialLatency = 8
+	initialLatencyDivisor = 8
 )
 
 // Balancer takes the decisions of one sidecar. Its methods are the events, in
@@ -81,9 +81,9 @@
 
 // addClasses enters the classes and what follows from all of them.
 func (b *Balancer) addClasses(classes []Class) {
-	b.meanLatency = classes[0].LatencyObjective / initialLatency
+	b.meanLatency = classes[0].LatencyObjective / initialLatencyDivisor
 	for i, c := range classes {
-		latency := c.LatencyObjective / initialLatency
+		latency := c.LatencyObjective / initialLatencyDivisor
 		b.classes = append(b.classes, class{Class: c, index: i, meanLatency: latency})
 		b.objective += meanObjective(c.LatencyObjective.Seconds() / float64(len(classes)))
 		b.meanLatency = min(b.meanLatency, latency)
@@ -109,8 +109,8 @@
 	if _, inUse := b.requests[q.ID]; inUse {
 		return
 	}
-	b.retryBudget.requestTaken(now)
-	if !b.usable(&q) {
+	b.retryBudget.recordRequest(now)
+	if !b.validRequest(&q) {
 		b.count.Rejected++
 		b.host.Reject(q.ID, 0)
 		return
@@ -123,9 +123,9 @@
 	}
 	late := now > r.latestStart() // does not count against admission: see placeLate
 	if !late && !b.admit(now, r) {
-		b.admission.offered(r.class)
+		b.admission.recordOffered(r.class)
 		b.count.Shed++
-		b.giveUp(now, r)
+		b.rejectOrFail(now, r)
 		return
 	}
 	b.place(now, r)
@@ -137,7 +137,7 @@
 		return
 	}
 	if now > r.latestStart() {
-		b.placeLate(now, r)
+		b.dispatchLate(now, r)
 		return
 	}
 	if !b.dispatch(now, r) {
@@ -147,11 +147,11 @@
 
 // placeLate sends a request whose response would be late, if that takes
 // nothing from others: without waiting, and only without congestion.
-func (b *Balancer) placeLate(now time.Duration, r *request) {
-	r.attemptsEndBy = r.deadline
+func (b *Balancer) dispatchLate(now time.Duration, r *request) {
+	r.attemptDeadline = r.deadline
 	if b.congested(now) || !b.dispatch(now, r) {
 		b.count.LateRejected++
-		b.giveUp(now, r)
+		b.rejectOrFail(now, r)
 	}
 }
 
@@ -176,10 +176,10 @@
 	}
 	b.attemptEnded(r, a.endpoint)
 	if !r.closed && o.Result != NotSent {
-		b.admission.offered(r.class)
+		b.admission.recordOffered(r.class)
 	}
-	if !r.closed && o.Result == Succeeded && now <= r.objectiveAt {
-		b.admission.succeeded(now, r)
+	if !r.closed && o.Result == Succeeded && now <= r.objectiveDeadline {
+		b.admission.recordSuccess(now, r)
 	}
 	b.ordering.attemptEnded(now, r, o.Result)
 	if a.endpoint.State != Ready {
@@ -188,7 +188,7 @@
 	b.recordOutcome(now, r, a, o.Result)
 	switch {
 	case r.closed && r.inFlight == 0:
-		b.forget(r)
+		b.removeRequest(r)
 	case !r.closed && (o.Answered || o.Result == Succeeded || r.streaming):
 		b.closeRequest(r)
 	case !r.closed && r.inFlight == 0:
@@ -250,7 +250,7 @@
 	endsSoon := now+2*max(activeTimerInterval, b.cfg.EventInterval) > r.deadline
 	useless := endsSoon || now >= r.latestStart() || !r.mayRetry(now)
 	if r.inFlight == 0 && useless || now >= r.deadline {
-		b.giveUp(now, r)
+		b.rejectOrFail(now, r)
 	}
 }
 
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -90,9 +90,9 @@
 
 // bulkheads are those of all tenants, by their numbers.
 type bulkheads struct {
-	all        []bulkhead
-	slots      int // of all
-	roundStart int // where the latest round over the queues began
+	all             []bulkhead
+	slots           int // of all
+	roundRobinStart int // where the latest round over the queues began
 }
 
 // resize sets the slots of all bulkheads. total is how many attempts are in
@@ -130,7 +130,7 @@
 // the lowest priority is rejected at once.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	if evicted := r.bulkhead.evictionCandidate(r); evicted != nil {
-		b.giveUp(now, evicted) // which takes it out of the queue
+		b.rejectOrFail(now, evicted) // which takes it out of the queue
 		if evicted == r {
 			return
 		}
@@ -143,11 +143,11 @@
 // all bulkheads first, and among equals one bulkhead after the other.
 func (b *Balancer) serveQueues(now time.Duration) {
 	h := &b.bulkheads
-	h.roundStart = (h.roundStart + 1) % len(h.all)
+	h.roundRobinStart = (h.roundRobinStart + 1) % len(h.all)
 	for priority := math.Inf(1); priority >= 0; {
 		next := noPriority
 		for i := range h.all {
-			waiting := &h.all[(h.roundStart+i)%len(h.all)]
+			waiting := &h.all[(h.roundRobinStart+i)%len(h.all)]
 			next = max(next, b.serveQueue(now, waiting, priority))
 		}
 		priority = next
@@ -171,7 +171,7 @@
 		case r.class.PriorityWeight < priority && !isRetry:
 			return r.class.PriorityWeight
 		case now >= r.latestStart():
-			b.giveUp(now, r) // which takes it out of the queue
+			b.rejectOrFail(now, r) // which takes it out of the queue
 		case b.dispatch(now, r):
 			h.queue = slices.Delete(h.queue, n, n+1)
 		case !isRetry && r.firstOfKey(now):
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -234,7 +234,7 @@
 
 // Without quotas the slots follow from the number of endpoints. They were set once, by the first list that was not
 // empty: one that was old, or came while most endpoints were away, kept them at a fraction for good.
-func TestBulkheadsGrowWithTheList(t *testing.T) {
+func TestBulkheadsGrowWithEndpointList(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Slots = nil, 0
 	all := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)
@@ -261,7 +261,7 @@
 
 // A retry stands at the front of its queue, and no endpoint can take it: it has been to all that its class allows.
 // Requests of a higher priority behind it waited as long as it did, though slots and endpoints were free.
-func TestRetryThatCannotGoHoldsNothingBack(t *testing.T) {
+func TestRetryWithoutEndpointDoesNotBlockQueue(t *testing.T) {
 	const low, high = 0, 1
 	for _, c := range []struct {
 		name      string
@@ -296,7 +296,7 @@
 }
 
 // A retry that an endpoint can take goes before requests of a higher priority in its queue.
-func TestRetryGoesFirstInItsQueue(t *testing.T) {
+func TestRetryIsServedBeforeHigherPriority(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].PriorityWeight = 8
--- a/policy/clientretry_test.go
+++ b/policy/clientretry_test.go
@@ -8,7 +8,7 @@
 // A client that retries at once has as much time for this try as for its first, but not for the response: its latency
 // objective counts from the first try. Balancers took such retries for first tries, and spent endpoints' work on
 // responses that earned nothing. Retries of another key, and first tries of the same, are not late by that.
-func TestClientRetryIsLateByItsFirstTry(t *testing.T) {
+func TestClientRetryObjectiveCountsFromFirstTry(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries, cfg.MaxAttempts = true, 1
 	b, h := start(t, cfg, ready(1, 2))
@@ -39,14 +39,14 @@
 	if now := 4 * time.Second; !isSent(now, 5, 7, true) {
 		t.Error("a retry was rejected as late for a request abandoned long ago")
 	}
-	if len(b.clientRetries.unanswered) > 1 {
-		t.Errorf("%d requests abandoned long ago are still remembered", len(b.clientRetries.unanswered))
+	if len(b.clientRetries.unserved) > 1 {
+		t.Errorf("%d requests abandoned long ago are still remembered", len(b.clientRetries.unserved))
 	}
 }
 
 // After a fault, admission did not recover: what responses in time had earned was used up by retries that came too late
 // to earn anything, so that the admitted amount could not grow.
-func TestExpiredRetriesTakeNoAdmission(t *testing.T) {
+func TestLateClientRetriesAreNotCountedAsOffered(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
@@ -54,8 +54,8 @@
 	before := classDemand{priority: b.classes[idempotentClass].PriorityWeight, offered: 40, goodput: 1}
 	b.admission.demand[idempotentClass] = before
 	for id := range RequestID(50) {
-		b.clientRetries.unanswered = append(b.clientRetries.unanswered,
-			unansweredRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
+		b.clientRetries.unserved = append(b.clientRetries.unserved,
+			unservedRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
 		b.Request(2*time.Second, Request{ID: id, Class: idempotentClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
 	}
 	if c := b.Counters(); c.LateRejected != 50 || c.Shed != 0 || len(h.rejected) != 50 {
@@ -67,19 +67,19 @@
 }
 
 // In a long outage every request is abandoned. What is remembered of them must not grow without bound.
-func TestAbandonedRequestsAreBounded(t *testing.T) {
+func TestUnservedRequestsAreBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
 	b, _ := start(t, cfg, nil)
-	for id := range RequestID(3 * maxUnanswered) {
+	for id := range RequestID(3 * maxUnserved) {
 		b.Request(0, Request{ID: id, Class: idempotentClass, Key: uint64(id) + 1, Timeout: time.Second})
 	}
-	if n := len(b.clientRetries.unanswered); n > maxUnanswered || n < maxUnanswered/2 {
-		t.Fatalf("%d remembered, want %d to %d", n, maxUnanswered/2, maxUnanswered)
+	if n := len(b.clientRetries.unserved); n > maxUnserved || n < maxUnserved/2 {
+		t.Fatalf("%d remembered, want %d to %d", n, maxUnserved/2, maxUnserved)
 	}
 }
 
-func TestFirstTry(t *testing.T) {
+func TestFirstTryStart(t *testing.T) {
 	short, long := &class{Class: Class{Deadline: time.Second}}, &class{Class: Class{Deadline: 3 * time.Second}}
 	tenant, otherTenant := new(bulkhead), new(bulkhead)
 	const startedAt, abandonedAt = 10 * time.Second, 11 * time.Second
@@ -100,16 +100,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			retries := clientRetries{maxDeadline: 3 * time.Second}
-			retries.remember(abandonedAt, &request{class: long, bulkhead: tenant, key: 7, clientStartedAt: startedAt})
+			retries.record(abandonedAt, &request{class: long, bulkhead: tenant, key: 7, firstTryAt: startedAt})
 			now := abandonedAt + c.after
 			want := now
 			if c.found {
 				want = startedAt
 			}
-			if got := retries.firstTry(now, &c.retry); got != want {
+			if got := retries.firstTryStart(now, &c.retry); got != want {
 				t.Errorf("first try at %v, want %v", got, want)
 			}
-			if n := len(retries.unanswered); n != c.remaining {
+			if n := len(retries.unserved); n != c.remaining {
 				t.Errorf("%d abandoned requests remain, want %d", n, c.remaining)
 			}
 		})
@@ -117,31 +117,31 @@
 }
 
 // Most clients retry at once, so a retry belongs to the latest request that fits; each of these has one retry.
-func TestFirstTryIsThatOfTheLatestAbandoned(t *testing.T) {
+func TestFirstTryOfLatestUnservedRequest(t *testing.T) {
 	retries := clientRetries{maxDeadline: 3 * time.Second}
 	r := &request{class: &class{Class: Class{Deadline: 3 * time.Second}}, bulkhead: new(bulkhead), key: 7}
 	for _, at := range []time.Duration{1 * time.Second, 2 * time.Second} {
-		r.clientStartedAt = at
-		retries.remember(at+100*ms, r)
+		r.firstTryAt = at
+		retries.record(at+100*ms, r)
 	}
 	const now = 2500 * ms
 	for _, want := range []time.Duration{2 * time.Second, 1 * time.Second, now} {
-		if got := retries.firstTry(now, r); got != want {
+		if got := retries.firstTryStart(now, r); got != want {
 			t.Fatalf("first try at %v, want %v", got, want)
 		}
 	}
 }
 
 // When too many requests are remembered, the oldest half goes.
-func TestAbandonedRequestsDropTheOldest(t *testing.T) {
+func TestOldestUnservedRequestsAreDropped(t *testing.T) {
 	var retries clientRetries
 	for key := range uint64(2049) {
-		retries.remember(0, &request{key: key})
+		retries.record(0, &request{key: key})
 	}
-	if n := len(retries.unanswered); n != 1025 {
+	if n := len(retries.unserved); n != 1025 {
 		t.Fatalf("%d remembered, want 1024 and the latest", n)
 	}
-	if first, last := retries.unanswered[0].key, retries.unanswered[1024].key; first != 1024 || last != 2048 {
+	if first, last := retries.unserved[0].key, retries.unserved[1024].key; first != 1024 || last != 2048 {
 		t.Errorf("keys %d to %d remembered, want 1024 to 2048", first, last)
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -126,11 +126,11 @@
 		return configError("MaxAttempts", "is %d, at least 1 is needed", c.MaxAttempts)
 	case c.Slots < 0:
 		return configError("Slots", "is %d, it must not be negative", c.Slots)
-	case unusable(c.SlowStartFraction) || c.SlowStartFraction > 1:
+	case negativeOrNonFinite(c.SlowStartFraction) || c.SlowStartFraction > 1:
 		return configError("SlowStartFraction", "is %v, it must be from 0 to 1", c.SlowStartFraction)
-	case unusable(c.OverloadFactor):
+	case negativeOrNonFinite(c.OverloadFactor):
 		return configError("OverloadFactor", "is %v, it must be a number from 0", c.OverloadFactor)
-	case unusable(c.CrossZoneCost):
+	case negativeOrNonFinite(c.CrossZoneCost):
 		return configError("CrossZoneCost", "is %v, it must be a number from 0", c.CrossZoneCost)
 	}
 	return c.validateDurations()
@@ -157,7 +157,7 @@
 }
 
 func (r RetryBudget) validate() error {
-	if r.Interval < 0 || unusable(r.MinRetries) || unusable(r.RetryRatio) {
+	if r.Interval < 0 || negativeOrNonFinite(r.MinRetries) || negativeOrNonFinite(r.RetryRatio) {
 		return configError("RetryBudget",
 			"has Interval %v, MinRetries %v and RetryRatio %v, all must be numbers from 0",
 			r.Interval, r.MinRetries, r.RetryRatio)
@@ -175,7 +175,7 @@
 		return configError(field, "has LatencyObjective %v, Deadline %v and DedupWindow %v, which cannot be used",
 			c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
-	if unusable(c.ObjectivePerWork) || unusable(c.LateValue) || unusable(c.PriorityWeight) {
+	if negativeOrNonFinite(c.ObjectivePerWork) || negativeOrNonFinite(c.LateValue) || negativeOrNonFinite(c.PriorityWeight) {
 		return configError(field, "has ObjectivePerWork, LateValue or PriorityWeight that is no number from 0")
 	}
 	return nil
@@ -184,7 +184,7 @@
 func validateTenants(tenants []Tenant) error {
 	sum := 0.0
 	for i, t := range tenants {
-		if unusable(t.Weight) || unusable(t.Quota) {
+		if negativeOrNonFinite(t.Weight) || negativeOrNonFinite(t.Quota) {
 			field := fmt.Sprintf("Tenants[%d]", i)
 			return configError(field, "has Weight %v and Quota %v, both must be numbers from 0", t.Weight, t.Quota)
 		}
@@ -197,7 +197,7 @@
 }
 
 // unusable says that a figure is negative, infinite or not a number.
-func unusable(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
+func negativeOrNonFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
 func configError(field, reason string, args ...any) error {
 	return &ConfigError{Field: field, Reason: fmt.Sprintf(reason, args...)}
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -8,7 +8,7 @@
 )
 
 // Operators fix a setting that cannot be used only if the error says which one it is.
-func TestNewNamesTheUnusableField(t *testing.T) {
+func TestNewErrorNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
 		field string // or a part of the message
 		spoil func(*Config)
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -54,11 +54,11 @@
 	b.attemptStarted(r, e)
 	if len(r.attempts) > 1 {
 		b.count.Retries++
-		b.retryBudget.retried(now)
+		b.retryBudget.recordRetry(now)
 	}
 	if b.crossesZone(e) {
 		b.count.CrossZoneSends++
 	}
-	b.host.Send(r.id, e.ID, r.attemptsEndBy-now, r.dedupRemaining())
+	b.host.Send(r.id, e.ID, r.attemptDeadline-now, r.dedupRemaining())
 	return true
 }
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -12,14 +12,14 @@
 // keyQueue is the requests of one key that run in order of arrival: each until
 // it has ended and none of its attempts is in flight.
 type keyQueue struct {
-	waiting      []*request
+	requests     []*request
 	blockedUntil time.Duration // an attempt may still be running until then
 }
 
 // remove takes a request out of the queue.
 func (q *keyQueue) remove(r *request) {
-	i := slices.Index(q.waiting, r)
-	q.waiting = slices.Delete(q.waiting, i, i+1)
+	i := slices.Index(q.requests, r)
+	q.requests = slices.Delete(q.requests, i, i+1)
 }
 
 // keyOrdering holds the queues of all keys.
@@ -33,7 +33,7 @@
 func (o *keyOrdering) join(now time.Duration, r *request, openRequests int) {
 	if len(o.queues) > minKeyQueues+2*openRequests {
 		maps.DeleteFunc(o.queues, func(_ uint64, q *keyQueue) bool {
-			return len(q.waiting) == 0 && now >= q.blockedUntil
+			return len(q.requests) == 0 && now >= q.blockedUntil
 		})
 	}
 	q := o.queues[r.key]
@@ -41,7 +41,7 @@
 		q = new(keyQueue)
 		o.queues[r.key] = q
 	}
-	q.waiting = append(q.waiting, r)
+	q.requests = append(q.requests, r)
 	r.keyQueue = q
 }
 
@@ -63,7 +63,7 @@
 	if r.keyQueue == nil {
 		return true
 	}
-	if r.keyQueue.waiting[0] != r {
+	if r.keyQueue.requests[0] != r {
 		return false
 	}
 	return len(r.attempts) > 0 || now >= r.keyQueue.blockedUntil
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -159,7 +159,7 @@
 				o.queues[key+100] = &keyQueue{blockedUntil: now} // over now
 			}
 			o.queues[100].blockedUntil = now + 1
-			o.queues[101].waiting = []*request{{}}
+			o.queues[101].requests = []*request{{}}
 			o.join(now, &request{key: 1}, c.requests)
 			if len(o.queues) != c.remaining || o.queues[100] == nil || o.queues[101] == nil {
 				t.Errorf("%d queues remain, the blocked one: %v, the one with a request: %v; want %d and both",
--- a/policy/request.go
+++ b/policy/request.go
@@ -74,17 +74,17 @@
 
 // request is a request that has not been answered or has attempts in flight.
 type request struct {
-	id              RequestID
-	class           *class
-	bulkhead        *bulkhead
-	key             uint64
-	clientStartedAt time.Duration // when the client's first try began, as far as is known
-	deadline        time.Duration // when the client gives up
-	attemptsEndBy   time.Duration // the deadline or, where late responses have no value, the latency objective
-	objectiveAt     time.Duration // a response before this meets the latency objective
-	attempts        []attempt
-	inFlight        int
-	keyQueue        *keyQueue // nil: need not run in order with others
+	id                RequestID
+	class             *class
+	bulkhead          *bulkhead
+	key               uint64
+	firstTryAt        time.Duration // when the client's first try began, as far as is known
+	deadline          time.Duration // when the client gives up
+	attemptDeadline   time.Duration // the deadline or, where late responses have no value, the latency objective
+	objectiveDeadline time.Duration // a response before this meets the latency objective
+	attempts          []attempt
+	inFlight          int
+	keyQueue          *keyQueue // nil: need not run in order with others
 
 	awaitedReport  *endpoint // waits for this endpoint's load report
 	reportDeadline time.Duration
@@ -118,7 +118,7 @@
 // latestStart is when it stops being worth it to start an attempt: its
 // response would come after attemptsEndBy.
 func (r *request) latestStart() time.Duration {
-	return r.attemptsEndBy - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
+	return r.attemptDeadline - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
 }
 
 // neverRan says that a result proves that the attempt did not run.
@@ -128,7 +128,7 @@
 
 // usable says whether a request names a class and a tenant that there are, and
 // has time left. Where no tenants are set, all requests belong to one.
-func (b *Balancer) usable(q *Request) bool {
+func (b *Balancer) validRequest(q *Request) bool {
 	if len(b.cfg.Tenants) == 0 {
 		q.Tenant = 0
 	}
@@ -140,19 +140,19 @@
 // newRequest enters a usable request.
 func (b *Balancer) newRequest(now time.Duration, q Request) *request {
 	r := &request{
-		id:              q.ID,
-		class:           &b.classes[q.Class],
-		bulkhead:        &b.bulkheads.all[q.Tenant],
-		key:             q.Key,
-		clientStartedAt: now,
-		deadline:        now + min(q.Timeout, maxRequestTimeout),
+		id:         q.ID,
+		class:      &b.classes[q.Class],
+		bulkhead:   &b.bulkheads.all[q.Tenant],
+		key:        q.Key,
+		firstTryAt: now,
+		deadline:   now + min(q.Timeout, maxRequestTimeout),
 	}
-	r.attemptsEndBy = r.deadline
-	r.objectiveAt = min(r.deadline, now+r.class.LatencyObjective)
+	r.attemptDeadline = r.deadline
+	r.objectiveDeadline = min(r.deadline, now+r.class.LatencyObjective)
 	if q.ClientRetry && q.Key != 0 {
-		r.clientStartedAt = b.clientRetries.firstTry(now, r)
+		r.firstTryAt = b.clientRetries.firstTryStart(now, r)
 	}
-	b.limitUsefulness(now, r, q)
+	b.setAttemptDeadline(now, r, q)
 	if r.class.OrderedByKey && q.Key != 0 {
 		b.ordering.join(now, r, len(b.requests))
 	}
@@ -164,7 +164,7 @@
 // limitUsefulness ends attempts at the latency objective of the client's first
 // try, for classes whose late responses have no value. A client's retry comes with less time left than a
 // first try, or waits less in all: that tells when the first try began.
-func (b *Balancer) limitUsefulness(now time.Duration, r *request, q Request) {
+func (b *Balancer) setAttemptDeadline(now time.Duration, r *request, q Request) {
 	c := r.class
 	objectiveKnown := c.ObjectivePerWork == 0 || q.ExpectedWork > 0
 	if c.LateValue != 0 || !objectiveKnown {
@@ -173,10 +173,10 @@
 	c.maxTimeout = max(q.Timeout, c.maxTimeout-(c.maxTimeout-q.Timeout)/maxTimeoutDecay)
 	mayBeRetry := q.ClientRetry || !b.cfg.ClientsMarkRetries
 	if mayBeRetry && q.Timeout < c.maxTimeout-2*activeTimerInterval {
-		r.clientStartedAt = min(r.clientStartedAt, r.deadline-c.Deadline)
+		r.firstTryAt = min(r.firstTryAt, r.deadline-c.Deadline)
 	}
 	objective := c.LatencyObjective + time.Duration(c.ObjectivePerWork*float64(q.ExpectedWork))
-	r.attemptsEndBy = min(r.deadline, r.clientStartedAt+objective)
+	r.attemptDeadline = min(r.deadline, r.firstTryAt+objective)
 }
 
 // maxTimeoutDecay is how many requests it takes for class.maxTimeout to follow
@@ -184,12 +184,12 @@
 const maxTimeoutDecay = 64
 
 // attemptStarted counts an attempt wherever attempts are counted.
-func (b *Balancer) attemptStarted(r *request, e *endpoint) { b.countAttempt(r, e, 1) }
+func (b *Balancer) attemptStarted(r *request, e *endpoint) { b.addInFlight(r, e, 1) }
 
 // attemptEnded is the inverse of attemptStarted.
-func (b *Balancer) attemptEnded(r *request, e *endpoint) { b.countAttempt(r, e, -1) }
+func (b *Balancer) attemptEnded(r *request, e *endpoint) { b.addInFlight(r, e, -1) }
 
-func (b *Balancer) countAttempt(r *request, e *endpoint, n int) {
+func (b *Balancer) addInFlight(r *request, e *endpoint, n int) {
 	r.inFlight += n
 	e.inFlight += n
 	r.bulkhead.used += n
@@ -198,11 +198,11 @@
 
 // giveUp answers a request without a response of an endpoint: rejected where
 // that is true, failed where it may have had an effect that would be repeated.
-func (b *Balancer) giveUp(now time.Duration, r *request) {
+func (b *Balancer) rejectOrFail(now time.Duration, r *request) {
 	if r.closed {
 		return
 	}
-	if r.harmlessToRepeat() {
+	if r.clientMayRetry() {
 		b.count.Rejected++
 		b.host.Reject(r.id, b.retryAfter())
 	} else {
@@ -210,7 +210,7 @@
 		b.host.Fail(r.id)
 	}
 	if b.cfg.ClientsMarkRetries && r.key != 0 {
-		b.clientRetries.remember(now, r)
+		b.clientRetries.record(now, r)
 	}
 	b.closeRequest(r)
 }
@@ -233,13 +233,13 @@
 		}
 	}
 	if r.inFlight == 0 {
-		b.forget(r)
+		b.removeRequest(r)
 	}
 }
 
 // forget drops a closed request with no attempt in flight; the next of its key
 // may go.
-func (b *Balancer) forget(r *request) {
+func (b *Balancer) removeRequest(r *request) {
 	delete(b.requests, r.id)
 	if r.keyQueue != nil {
 		r.keyQueue.remove(r)
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -30,7 +30,7 @@
 
 // A client's retries were served when the latency objective of its first try had passed, so that nothing could be
 // earned by them. While responses are quick that does no harm; under congestion it takes slots from other requests.
-func TestClientRetryIsExpiredUnderCongestion(t *testing.T) {
+func TestLateClientRetryIsRejectedUnderCongestion(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	submitWithTimeout := func(id RequestID, timeout time.Duration) {
 		b.Request(0, Request{ID: id, Class: idempotentClass, Timeout: timeout})
@@ -91,7 +91,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const usefulUntil = time.Minute
-			r := request{attemptsEndBy: usefulUntil,
+			r := request{attemptDeadline: usefulUntil,
 				class: &class{Class: Class{LatencyObjective: time.Second}, meanLatency: c.meanLatency}}
 			if got := r.latestStart(); got != usefulUntil-c.want {
 				t.Errorf("latest start %v before, want %v", usefulUntil-got, c.want)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,14 +10,14 @@
 }
 
 // requestTaken counts a request, and forgets what is older than the interval.
-func (b *retryBudget) requestTaken(now time.Duration) {
+func (b *retryBudget) recordRequest(now time.Duration) {
 	b.requests.countSince(now - b.Interval)
 	b.retries.countSince(now - b.Interval)
 	b.requests = append(b.requests, now)
 }
 
 // retried counts an attempt after a request's first.
-func (b *retryBudget) retried(now time.Duration) { b.retries = append(b.retries, now) }
+func (b *retryBudget) recordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
 // exhausted says that the budget allows no retry now. At the edge it errs
 // towards fewer: a request taken just an interval ago no longer counts, a
@@ -43,7 +43,7 @@
 		now >= r.latestStart() ||
 		b.retryBudget.exhausted(now)
 	if denied {
-		b.giveUp(now, r)
+		b.rejectOrFail(now, r)
 		return
 	}
 	if !b.dispatch(now, r) {
@@ -93,7 +93,7 @@
 
 // harmlessToRepeat says that a client may repeat the request: no attempt may
 // have run, or any endpoint drops or tolerates a duplicate.
-func (r *request) harmlessToRepeat() bool {
+func (r *request) clientMayRetry() bool {
 	switch {
 	case r.firstEffective() == nil || r.class.Idempotency == Idempotent:
 		return true
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -288,13 +288,13 @@
 
 func TestRetryBudgetCounts(t *testing.T) {
 	b := retryBudget{RetryBudget: RetryBudget{Interval: time.Second, MinRetries: 1}}
-	b.requestTaken(0)
-	b.retried(0)
-	b.retried(500 * ms)
+	b.recordRequest(0)
+	b.recordRetry(0)
+	b.recordRetry(500 * ms)
 	if len(b.requests) != 1 || len(b.retries) != 2 {
 		t.Fatalf("%d requests and %d retries, want 1 and 2", len(b.requests), len(b.retries))
 	}
-	b.requestTaken(1100 * ms) // those at 0 are older than the interval
+	b.recordRequest(1100 * ms) // those at 0 are older than the interval
 	if len(b.requests) != 1 || len(b.retries) != 1 {
 		t.Fatalf("%d requests and %d retries within the interval, want 1 and 1", len(b.requests), len(b.retries))
 	}
@@ -302,7 +302,7 @@
 
 // Two endpoints without a known zone, or cell, counted as of one: a retry went to an endpoint that had not seen the
 // idempotency key, and the request ran a second time.
-func TestNoRetryWhereTheDedupScopeIsUnknown(t *testing.T) {
+func TestNoRetryInUnknownDedupScope(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		class      int
