--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	admissionHeadroom = 1.5  // admits this multiple of the recent goodput
-	minAdmitted       = 1.5  // and this many requests, or a balancer of little traffic rejects after one failure
-	admissionHorizon  = 1.25 // latency objectives that "recent" covers: most responses that meet theirs
+	// The requests admitted are admissionHeadroom times the recent goodput, plus minAdmitted.
+	admissionHeadroom = 1.5
+	// With fewer, a balancer with little traffic would reject requests after a single failure.
+	minAdmitted = 1.5
+	// Time constant of the decay of the counts, in mean latency objectives. It covers most responses
+	// that meet their objective.
+	admissionHorizon = 1.25
 )
 
-// classDemand counts recent requests of a class. The counts decay.
+// classDemand counts the recent requests of a class. The counts decay exponentially.
 type classDemand struct {
 	priority float64
-	offered  float64 // requests shed and attempts that ended
-	goodput  float64 // responses within the latency objective, those near its end in part
+	offered  float64 // shed requests and ended attempts
+	goodput  float64 // responses within the latency objective; one in its second half counts as a fraction
 }
 
-// admission sheds load. Bulkheads bound each balancer alone; where thousands
-// of them with little traffic each meet a lack of capacity, the slots of all
-// exceed what endpoints can serve in time, and their work goes into responses
-// that come late. So each balancer admits little more than was recently
-// answered in time: higher priorities first, and what remains for the next
-// ones. Whatever is admitted and answered in time raises the amount, and
-// classes that were shut out return by themselves once there is capacity,
-// however often their clients retry meanwhile.
+// admission sheds load. Bulkheads bound each balancer alone: when endpoints lack capacity, the
+// slots of thousands of balancers with little traffic each exceed what the endpoints can serve in
+// time, and the endpoints spend their work on late responses. So each balancer admits little more
+// than was recently answered in time: requests of the highest priority first, and lower priorities
+// with what remains. Every admitted request that is answered in time raises this amount, so classes
+// that were shed are admitted again once there is capacity, however often their clients retry in
+// the meantime.
 type admission struct {
 	objective meanObjective
 	demand    []classDemand // by class
@@ -40,17 +43,18 @@
 	return a
 }
 
-// offered counts a request of a class that was shed, or an attempt that ended.
+// recordOffered counts a shed request or an ended attempt of a class.
 func (a *admission) recordOffered(c *class) { a.demand[c.index].offered++ }
 
-// succeeded counts a response that came before the request's objective. One
-// that took more than half of it counts in part: it warns of the next.
+// recordSuccess counts a response within the request's latency objective. A response that took more
+// than half of the objective counts as a fraction, as the next ones may be late.
 func (a *admission) recordSuccess(now time.Duration, r *request) {
 	remaining := float64(r.objectiveDeadline - now)
 	a.demand[r.class.index].goodput += min(1, 2*remaining/float64(r.class.LatencyObjective))
 }
 
-// fraction returns the fraction of a class's requests to admit; 1 or more: all.
+// admitFraction returns the fraction of a class's requests to admit. At 1 or above, all are
+// admitted.
 func (a *admission) admitFraction(now time.Duration, c *class) float64 {
 	a.decay(now)
 	capacity, samePriority := minAdmitted, 0.0
@@ -64,7 +68,7 @@
 			samePriority += d.offered
 		}
 	}
-	return capacity / (samePriority + 1) // with this one
+	return capacity / (samePriority + 1) // 1: the request to be admitted
 }
 
 func (a *admission) decay(now time.Duration) {
@@ -76,8 +80,8 @@
 	}
 }
 
-// admit says whether a request may compete for a slot.
+// admit reports whether a request may compete for a slot.
 func (b *Balancer) admit(now time.Duration, r *request) bool {
-	fraction := b.admission.admitFraction(now, r.class)
-	return fraction >= 1 || b.rng.Float64() < fraction
+	admitFraction := b.admission.admitFraction(now, r.class)
+	return admitFraction >= 1 || b.rng.Float64() < admitFraction
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// A thousand balancers with a slot each went on sending although endpoints were so slow that most responses came too
-// late: the endpoints worked, and no client had anything of it. Admission has to follow what is answered in time. Late
-// responses are no sign of capacity, and some requests are always let through, or nothing would show a recovery.
+// A thousand balancers with one slot each kept sending to endpoints that were so slow that most responses
+// were late, so the endpoints did work that was of no use to clients. Admission has to follow the responses
+// within the objective: late responses are no sign of capacity. Some requests are always admitted, as
+// otherwise a recovery would go unnoticed.
 func TestAdmissionFollowsGoodput(t *testing.T) {
 	const requests = 200
 	for _, c := range []struct {
 		name     string
 		result   Result
 		latency  time.Duration
-		min, max int // sends
+		min, max int // number of sends
 	}{
 		{"in time", Succeeded, 100 * ms, requests, requests},
 		{"late", Succeeded, 1500 * ms, 0, 150},
@@ -32,13 +33,14 @@
 				}
 			}
 			if n := len(h.sends); n < c.min || n > c.max {
-				t.Errorf("%d of %d sent, want %d to %d", n, requests, c.min, c.max)
+				t.Errorf("%d of %d requests sent, want %d to %d", n, requests, c.min, c.max)
 			}
 		})
 	}
 }
 
-// One endpoint of ten that fails is no lack of capacity: shedding for it would reject what the others could serve.
+// If one endpoint of ten fails, capacity is not short: shedding would reject requests that the others could
+// serve.
 func TestAdmissionToleratesFewFailures(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
 	for id := range RequestID(300) {
@@ -51,12 +53,12 @@
 		finish(b, now+50*ms, id, 0, result)
 	}
 	if len(h.sends) != 300 {
-		t.Fatalf("%d of 300 sent", len(h.sends))
+		t.Fatalf("%d of 300 requests sent, want all", len(h.sends))
 	}
 }
 
-// Under a lack of capacity, requests of a high priority were shed as often as the others. The lower priority has to
-// bear most of the shortage, though not all of it: its clients must see when capacity is back.
+// When capacity was short, requests of high priority were shed as often as others. Most of the shed requests
+// must be of the lower priority, but not all requests of it, as its clients must notice a recovery.
 func TestAdmissionShedsLowPriorityFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
@@ -73,12 +75,13 @@
 		}
 	}
 	if admitted[0]*3 > admitted[1]*2 || admitted[0] == 0 {
-		t.Fatalf("admitted %v of 1000 each, want many more of the higher priority, and some of the lower", admitted)
+		t.Fatalf("admitted = %v of 1000 each, want at most two thirds as many of the lower priority, but some", admitted)
 	}
 }
 
-// After a fault, admission locked itself in: the recent goodput had capacity for the high priority alone, the clients
-// of the others retried at once, and because these retries counted as offered, their class stayed shut out for good.
+// After a fault, a class stayed shed permanently: the recent goodput covered the high priority only, clients
+// of the other class retried at once, and their retries counted as offered, which kept the class above its
+// capacity.
 func TestAdmissionRecoversAfterFailures(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots, cfg.MaxAttempts = 1, 100, 1
@@ -90,7 +93,7 @@
 		faultEnds     = 5 * time.Second
 		countedFrom   = 17 * time.Second
 		testEnds      = 20 * time.Second
-		clientRetries = 2 // at once
+		clientRetries = 2 // immediately after a rejection
 	)
 	id := RequestID(0)
 	admitted := func(now time.Duration, class int) bool {
@@ -107,10 +110,10 @@
 		finish(b, now+10*ms, id, 0, result)
 		return true
 	}
-	requests, shut := 0, 0
+	requests, shed := 0, 0
 	for now := time.Duration(0); now < testEnds; now += interval {
 		class := 0
-		if now/interval%3 == 0 { // a third is of high priority
+		if now/interval%3 == 0 { // a third of the requests has the high priority
 			class = 1
 		}
 		ok := false
@@ -120,16 +123,16 @@
 		if now >= countedFrom {
 			requests++
 			if !ok {
-				shut++
+				shed++
 			}
 		}
 	}
-	if requests == 0 || shut*20 > requests {
-		t.Fatalf("%d of %d requests were shed long after endpoints had recovered", shut, requests)
+	if requests == 0 || shed*20 > requests {
+		t.Fatalf("%d of %d requests shed long after the endpoints had recovered, want at most 5%%", shed, requests)
 	}
 }
 
-// admissionWith returns an admission whose classes have these demands, for a latency objective of 2 s.
+// admissionWith returns an admission with these demands by class and a mean latency objective of 2 s.
 func admissionWith(demands ...classDemand) admission {
 	return admission{objective: 2, demand: demands}
 }
@@ -152,13 +155,14 @@
 			a := admissionWith(c.demands...)
 			got := a.admitFraction(0, &class{Class: Class{PriorityWeight: c.demands[c.class].priority}, index: c.class})
 			if math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("fraction %v, want %v", got, c.want)
+				t.Errorf("admitFraction = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A response near its latency objective warns of the next, so it counts in part.
+// A response close to its latency objective suggests that the next ones will be late, so it counts as a
+// fraction.
 func TestAdmissionGoodputNearObjective(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -176,7 +180,7 @@
 			cl := &class{Class: Class{LatencyObjective: 800 * ms}, index: 1}
 			a.recordSuccess(now, &request{class: cl, objectiveDeadline: now + c.remaining})
 			if got := a.demand[1].goodput; got != c.want || a.demand[0].goodput != 0 {
-				t.Errorf("goodput %v, and %v of another class; want %v and 0", got, a.demand[0].goodput, c.want)
+				t.Errorf("goodput = %v, and %v of another class; want %v and 0", got, a.demand[0].goodput, c.want)
 			}
 		})
 	}
@@ -187,10 +191,10 @@
 	a.decayedAt = time.Second
 	a.decay(3500 * ms) // 1.25 objectives later
 	if d := a.demand[0]; math.Abs(d.offered-10/math.E) > 1e-9 || math.Abs(d.goodput-4/math.E) > 1e-9 {
-		t.Errorf("offered %v and goodput %v, want a fraction of 1/e of 10 and 4", d.offered, d.goodput)
+		t.Errorf("offered = %v, goodput = %v; want 10/e and 4/e", d.offered, d.goodput)
 	}
-	a.decay(3500 * ms) // no time has passed
+	a.decay(3500 * ms) // no time has passed since
 	if d := a.demand[0]; math.Abs(d.offered-10/math.E) > 1e-9 {
-		t.Errorf("offered %v, decayed twice for the same time", d.offered)
+		t.Errorf("offered = %v after a second decay at the same time, want 10/e", d.offered)
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	activeTimerInterval = 10 * time.Millisecond  // between timers while requests are open
-	idleTimerInterval   = 100 * time.Millisecond // and while none is
+	activeTimerInterval = 10 * time.Millisecond  // timer interval while requests are open
+	idleTimerInterval   = 100 * time.Millisecond // timer interval while no request is open
 
-	// initialLatency is the mean latency assumed before the first response, as
-	// a part of the latency objective.
+	// Until the first response, the mean latency is assumed to be the latency objective divided by
+	// initialLatencyDivisor.
 	initialLatencyDivisor = 8
 )
 
-// Balancer takes the decisions of one sidecar. Its methods are the events, in
-// the order in which a request meets them; each mechanism that they use has
-// its own file and owns its own state.
+// Balancer makes the decisions of one sidecar. Its host reports events by calling the exported
+// methods, which are declared in the order in which a request passes through them. Each mechanism
+// has its own file and keeps its own state.
 type Balancer struct {
 	cfg       Config
 	host      Host
 	rng       *rand.Rand
 	classes   []class
-	quota     float64       // requests per second of all tenants and balancers; 0: unknown
-	objective meanObjective // of all classes
-	timerAt   time.Duration // when the next timer is due; 0: none is set
+	quota     float64       // requests per second over all tenants and balancers; 0: unknown
+	objective meanObjective // mean over all classes
+	timerAt   time.Duration // time of the next pending timer; 0: none
 	count     Counters
 
-	requests      map[RequestID]*request
-	open          []*request    // in order of arrival; closed ones are removed by TimerFired
-	inFlight      int           // attempts
-	meanLatency   time.Duration // of successful attempts of all classes
-	fleetInFlight float64       // attempts of all balancers while traffic is at the quotas
+	requests      map[RequestID]*request // open requests, and closed ones with attempts in flight
+	open          []*request             // requests in order of arrival; TimerFired removes closed ones
+	inFlight      int                    // attempts of this balancer in flight
+	meanLatency   time.Duration          // of successful attempts over all classes
+	fleetInFlight float64                // attempts in flight expected over all balancers: see sizeBulkheads
 
 	admission     admission
 	bulkheads     bulkheads
@@ -48,12 +48,12 @@
 	sampler    reportSampler
 
 	traffic    requestRate
-	congestion congestion // as this balancer observes it
+	congestion congestion // as observed by this balancer alone
 	unloaded   unloadedLatency
 	gossip     gossip
 }
 
-// New makes a Balancer, or returns a *ConfigError.
+// New returns a Balancer, or a *ConfigError if the configuration is invalid.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	return b, nil
 }
 
-// addClasses enters the classes and what follows from all of them.
+// addClasses adds the classes and derives the values that depend on all of them.
 func (b *Balancer) addClasses(classes []Class) {
 	b.meanLatency = classes[0].LatencyObjective / initialLatencyDivisor
 	for i, c := range classes {
@@ -91,37 +91,38 @@
 	}
 }
 
-// Start must be the first event.
+// Start sets the first timer and, if configured, polls the endpoint list. It must be the first
+// event.
 func (b *Balancer) Start(now time.Duration) {
 	if b.cfg.PollsEndpoints {
 		b.poll(now)
 	}
-	// Balancers that start together must not act all at once.
+	// Random delays keep balancers that start together from acting at the same time.
 	b.sampler.nextAt = now + time.Duration(b.rng.Int64N(int64(sampleSpread)))
 	b.gossip.nextBroadcast = now + b.objective.times(broadcastInterval*b.rng.Float64())
 	b.setTimer(now, idleTimerInterval)
 }
 
-// Request takes a request. It is answered once, by an Outcome with Answered
-// set or through the Host, before its Timeout is over. An id that is in use is
-// ignored; a request that cannot be used is rejected.
-func (b *Balancer) Request(now time.Duration, q Request) {
-	if _, inUse := b.requests[q.ID]; inUse {
+// Request handles a new client request. It is answered exactly once before its Timeout has passed:
+// by an Outcome with Answered set, or by Host.Reject or Host.Fail. A request with an ID that is in
+// use is ignored; an invalid request is rejected.
+func (b *Balancer) Request(now time.Duration, req Request) {
+	if _, inUse := b.requests[req.ID]; inUse {
 		return
 	}
 	b.retryBudget.recordRequest(now)
-	if !b.validRequest(&q) {
+	if !b.validRequest(&req) {
 		b.count.Rejected++
-		b.host.Reject(q.ID, 0)
+		b.host.Reject(req.ID, 0)
 		return
 	}
-	r := b.newRequest(now, q)
+	r := b.newRequest(now, req)
 	b.setTimer(now, activeTimerInterval)
 	b.traffic.observe(now)
 	if b.subset.outgrown(b.traffic.perSecond) {
 		b.selectSubset(now)
 	}
-	late := now > r.latestStart() // does not count against admission: see placeLate
+	late := now > r.latestStart() // late requests bypass admission: see dispatchLate
 	if !late && !b.admit(now, r) {
 		b.admission.recordOffered(r.class)
 		b.count.Shed++
@@ -131,7 +132,8 @@
 	b.place(now, r)
 }
 
-// place sends an admitted request, or has it wait, or rejects it.
+// dispatchOrQueue dispatches an admitted request, has it wait for a load report or in its queue, or
+// rejects it.
 func (b *Balancer) place(now time.Duration, r *request) {
 	if b.awaitReport(now, r) {
 		return
@@ -145,8 +147,9 @@
 	}
 }
 
-// placeLate sends a request whose response would be late, if that takes
-// nothing from others: without waiting, and only without congestion.
+// dispatchLate dispatches a request whose response is expected after its attempt deadline. Such a
+// request must not take capacity from others: it is not queued, and under congestion it is
+// rejected.
 func (b *Balancer) dispatchLate(now time.Duration, r *request) {
 	r.attemptDeadline = r.deadline
 	if b.congested(now) || !b.dispatch(now, r) {
@@ -155,41 +158,41 @@
 	}
 }
 
-// StreamStarted is called when the response to a request has begun to reach the
-// client: nothing else may answer it.
+// StreamStarted is called when the response to a request has started to reach the client. The
+// Balancer then neither answers the request nor sends it again.
 func (b *Balancer) StreamStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// Outcome takes the end of an attempt. One that is unknown or has ended before
-// is ignored.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
-	r, a := b.attemptInFlight(o.RequestID, o.Attempt)
+// Outcome handles the end of an attempt. The outcome of an attempt that is unknown or has already
+// ended is ignored.
+func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
+	r, a := b.attemptInFlight(outcome.RequestID, outcome.Attempt)
 	if a == nil {
 		return
 	}
 	a.state = attemptMayHaveRun
-	if o.Result.neverRan() {
+	if outcome.Result.neverRan() {
 		a.state = attemptNeverRan
 	}
 	b.attemptEnded(r, a.endpoint)
-	if !r.closed && o.Result != NotSent {
+	if !r.closed && outcome.Result != NotSent {
 		b.admission.recordOffered(r.class)
 	}
-	if !r.closed && o.Result == Succeeded && now <= r.objectiveDeadline {
+	if !r.closed && outcome.Result == Succeeded && now <= r.objectiveDeadline {
 		b.admission.recordSuccess(now, r)
 	}
-	b.ordering.attemptEnded(now, r, o.Result)
+	b.ordering.attemptEnded(now, r, outcome.Result)
 	if a.endpoint.State != Ready {
 		b.closeIdle(now, a.endpoint)
 	}
-	b.recordOutcome(now, r, a, o.Result)
+	b.recordOutcome(now, r, a, outcome.Result)
 	switch {
 	case r.closed && r.inFlight == 0:
 		b.removeRequest(r)
-	case !r.closed && (o.Answered || o.Result == Succeeded || r.streaming):
+	case !r.closed && (outcome.Answered || outcome.Result == Succeeded || r.streaming):
 		b.closeRequest(r)
 	case !r.closed && r.inFlight == 0:
 		b.retry(now, r)
@@ -197,8 +200,8 @@
 	b.serveQueues(now)
 }
 
-// attemptInFlight returns a request and one of its attempts, or nil for both
-// if that is not in flight.
+// attemptInFlight returns a request and its attempt of the given number, or nil for both if that
+// attempt is not in flight.
 func (b *Balancer) attemptInFlight(id RequestID, number int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) {
@@ -211,8 +214,7 @@
 	return r, a
 }
 
-// ClientDisconnected is called when a client has gone: its request needs no
-// answer.
+// ClientDisconnected is called when a client has disconnected. Its request needs no answer.
 func (b *Balancer) ClientDisconnected(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.closed {
 		b.closeRequest(r)
@@ -220,10 +222,10 @@
 	}
 }
 
-// TimerFired is called when a time asked for with Host.SetTimer has come.
+// TimerFired is called when the delay passed to Host.SetTimer has elapsed.
 func (b *Balancer) TimerFired(now time.Duration) {
 	if now < b.timerAt {
-		return // an older timer
+		return // stale timer: the pending one is due later
 	}
 	if b.cfg.PollsEndpoints && b.watch.shouldPoll(now) {
 		b.poll(now)
@@ -241,20 +243,20 @@
 	b.setNextTimer(now)
 }
 
-// expireRequest gives up a request at its deadline, and one that waits with no
-// attempt in flight as soon as waiting is of no use.
+// expireRequest rejects or fails a request at its deadline. A request without an attempt in flight
+// is ended earlier, as soon as another attempt is not allowed or its response would be late.
 func (b *Balancer) expireRequest(now time.Duration, r *request) {
 	if r.streaming {
 		return
 	}
-	endsSoon := now+2*max(activeTimerInterval, b.cfg.EventInterval) > r.deadline
-	useless := endsSoon || now >= r.latestStart() || !r.mayRetry(now)
-	if r.inFlight == 0 && useless || now >= r.deadline {
+	deadlineNear := now+2*max(activeTimerInterval, b.cfg.EventInterval) > r.deadline
+	attemptFutile := deadlineNear || now >= r.latestStart() || !r.mayRetry(now)
+	if r.inFlight == 0 && attemptFutile || now >= r.deadline {
 		b.rejectOrFail(now, r)
 	}
 }
 
-// setNextTimer sets the timers that are due whatever happens meanwhile.
+// setNextTimer sets the timer that is needed even if no other event occurs.
 func (b *Balancer) setNextTimer(now time.Duration) {
 	if len(b.open) > 0 {
 		b.setTimer(now, activeTimerInterval)
@@ -265,7 +267,7 @@
 	}
 }
 
-// setTimer sees to it that TimerFired comes after d at the latest.
+// setTimer has TimerFired called after d, unless a timer is due earlier.
 func (b *Balancer) setTimer(now, d time.Duration) {
 	if b.timerAt == 0 || now+d < b.timerAt {
 		b.timerAt = now + d
@@ -273,16 +275,16 @@
 	}
 }
 
-// Counters returns what was done so far.
+// Counters returns the counters since the Balancer was made.
 func (b *Balancer) Counters() Counters { return b.count }
 
-// FreeSlots returns the free slots in a tenant's bulkhead.
+// FreeSlots returns the number of free slots in a tenant's bulkhead.
 func (b *Balancer) FreeSlots(tenant int) int {
 	h := &b.bulkheads.all[tenant]
 	return h.slots - h.used
 }
 
-// FreeQueue returns the free places in the queue of a tenant's bulkhead.
+// FreeQueue returns the number of free places in the queue of a tenant's bulkhead.
 func (b *Balancer) FreeQueue(tenant int) int {
 	h := &b.bulkheads.all[tenant]
 	return h.queueCapacity - len(h.queue)
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -7,44 +7,48 @@
 )
 
 const (
-	// slotObjectiveFraction sizes bulkheads: the slots hold a quota's traffic
-	// while attempts take this fraction of the latency objective, which leaves
-	// most of the objective for what goes wrong.
+	// slotObjectiveFraction is the latency that bulkheads are sized for, as a fraction of the
+	// latency objective. The slots hold the traffic of the quotas at this latency; most of the
+	// objective remains for faults.
 	slotObjectiveFraction = 0.12
-	// slotDeviations is how many standard deviations of the number in flight
-	// the slots exceed its mean by, so that chance alone rejects nothing.
-	slotDeviations   = 2.0
-	slotsPerEndpoint = 3.0  // slots for each ready endpoint of the largest list so far, where no quota is known
-	queuePerSlot     = 0.15 // queue places for each slot: just enough to keep the slots in use
-	eulerGamma       = 0.58 // the largest of n random parts is (ln n + this) times the mean
+	// slotDeviations is the margin of the slots over the mean number of attempts in flight, in
+	// standard deviations, so that random variation alone causes no rejections.
+	slotDeviations = 2.0
+	// Without known quotas, slotsPerEndpoint attempts in flight over all balancers are assumed for
+	// each ready endpoint of the largest endpoint list so far.
+	slotsPerEndpoint = 3.0
+	// Queue places for each slot: just enough to keep the slots in use.
+	queuePerSlot = 0.15
+	// Euler's constant: the largest of n random parts is expected to be (ln n + eulerGamma) times
+	// their mean.
+	eulerGamma = 0.58
 )
 
-// noPriority is below every priority weight.
+// noPriority is lower than every priority weight.
 const noPriority = -1.0
 
-// bulkhead isolates one tenant: a bounded number of concurrent attempts and a
-// short queue for requests that wait, in order of priority but for retries,
-// which go to its front. A tenant that exhausts its own cannot take another's.
+// bulkhead isolates one tenant. It bounds the tenant's concurrent attempts and has a short queue
+// for requests that wait: retries at the front, then requests by priority. A tenant that has
+// exhausted its own slots cannot use those of another.
 type bulkhead struct {
-	slots         int // concurrent attempts
-	used          int
-	queueCapacity int // at least 1
+	slots         int // limit on concurrent attempts
+	used          int // attempts in flight
+	queueCapacity int // at least 1; retries may exceed it
 	queue         []*request
 }
 
-// resize sets the slots to hold the mean number of attempts in flight, plus
-// some deviations of it.
+// resize sets the slots to hold the mean number of attempts in flight, plus a margin of deviations
+// times the standard deviation of that number.
 func (h *bulkhead) resize(mean, deviations float64) {
 	h.slots = max(1, int(math.Ceil(mean+deviations*math.Sqrt(mean))))
 	h.queueCapacity = int(math.Ceil(float64(h.slots) * queuePerSlot))
 }
 
-// full says that all slots are in use.
+// full reports whether all slots are in use.
 func (h *bulkhead) full() bool { return h.used >= h.slots }
 
-// evictionCandidate returns the request that has to be rejected before r can
-// be queued: nil while there is capacity, the last in the queue if r has a
-// higher priority, else r itself.
+// evictionCandidate returns the request that has to be rejected before r can be queued: nil if the
+// queue has capacity, the last queued request if r has a higher priority, and otherwise r itself.
 func (h *bulkhead) evictionCandidate(r *request) *request {
 	if len(h.queue) < h.queueCapacity {
 		return nil
@@ -56,62 +60,62 @@
 	return r
 }
 
-// push queues a request behind those of at least its priority.
+// push queues a request behind those of the same or a higher priority.
 func (h *bulkhead) push(r *request) {
-	at := len(h.queue)
-	for at > 0 && h.queue[at-1].class.PriorityWeight < r.class.PriorityWeight {
-		at--
+	position := len(h.queue)
+	for position > 0 && h.queue[position-1].class.PriorityWeight < r.class.PriorityWeight {
+		position--
 	}
-	h.queue = slices.Insert(h.queue, at, r)
+	h.queue = slices.Insert(h.queue, position, r)
 }
 
-// pushFront queues a retry: it has waited before, so it goes first, whatever
-// its priority and also beyond the queue's capacity.
+// pushFront queues a retry at the front, whatever its priority and even beyond the queue's
+// capacity, as its request has already waited.
 func (h *bulkhead) pushFront(r *request) { h.queue = slices.Insert(h.queue, 0, r) }
 
-// maxPriority returns the highest priority weight in the queue, or noPriority.
+// maxPriority returns the highest priority weight in the queue, or noPriority if it is empty.
 func (h *bulkhead) maxPriority() float64 {
 	highest := noPriority
 	for _, r := range h.queue {
 		highest = max(highest, r.class.PriorityWeight)
 		if len(r.attempts) == 0 {
-			break // those behind the retries are in order
+			break // the requests behind the retries are ordered by priority
 		}
 	}
 	return highest
 }
 
-// removeQueued takes a request out of the queue, if it is there.
+// removeQueued removes a request from the queue, if it is there.
 func (h *bulkhead) removeQueued(r *request) {
 	if i := slices.Index(h.queue, r); i >= 0 {
 		h.queue = slices.Delete(h.queue, i, i+1)
 	}
 }
 
-// bulkheads are those of all tenants, by their numbers.
+// bulkheads holds the bulkheads of all tenants.
 type bulkheads struct {
-	all             []bulkhead
-	slots           int // of all
-	roundRobinStart int // where the latest round over the queues began
+	all             []bulkhead // by tenant
+	slots           int        // over all bulkheads
+	roundRobinStart int        // bulkhead that was served first in the latest round
 }
 
-// resize sets the slots of all bulkheads. total is how many attempts are in
-// flight on average, divided among the tenants by their weights.
+// resize sets the slots of all bulkheads. total is the mean number of attempts in flight; it is
+// divided among the tenants by their weights.
 func (h *bulkheads) resize(tenants []Tenant, total, deviations float64) {
-	weights := 0.0
+	weightSum := 0.0
 	for _, t := range tenants {
-		weights += t.Weight
+		weightSum += t.Weight
 	}
 	h.slots = 0
 	for i, t := range tenants {
-		h.all[i].resize(total*t.Weight/weights, deviations)
+		h.all[i].resize(total*t.Weight/weightSum, deviations)
 		h.slots += h.all[i].slots
 	}
 }
 
-// sizeBulkheads sets all slots. By Little's law a request rate keeps rate x
-// latency attempts in flight. Each balancer gets what the largest of n random
-// parts of the traffic comes to, as traffic is not spread evenly.
+// sizeBulkheads sets the slots of all bulkheads. By Little's law, a request rate keeps rate x
+// latency attempts in flight. As traffic is not spread evenly over the n balancers, each one is
+// sized for the expected largest of n random parts of the traffic.
 func (b *Balancer) sizeBulkheads() {
 	n := float64(b.cfg.Balancers)
 	b.fleetInFlight = b.quota * float64(b.objective) * slotObjectiveFraction
@@ -126,11 +130,11 @@
 	b.bulkheads.resize(b.cfg.tenants(), total, deviations)
 }
 
-// enqueue has a request wait in its bulkhead. In a full queue the request of
-// the lowest priority is rejected at once.
+// enqueue queues a request in its bulkhead. If the queue is full, the request of the lowest
+// priority is rejected at once.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	if evicted := r.bulkhead.evictionCandidate(r); evicted != nil {
-		b.rejectOrFail(now, evicted) // which takes it out of the queue
+		b.rejectOrFail(now, evicted) // also removes it from the queue
 		if evicted == r {
 			return
 		}
@@ -139,45 +143,45 @@
 	r.bulkhead.push(r)
 }
 
-// serveQueues gives free slots to queued requests: the highest priority over
-// all bulkheads first, and among equals one bulkhead after the other.
+// serveQueues dispatches queued requests while there are free slots: the highest priority over all
+// bulkheads first, and the bulkheads in round-robin order among equal priorities.
 func (b *Balancer) serveQueues(now time.Duration) {
 	h := &b.bulkheads
 	h.roundRobinStart = (h.roundRobinStart + 1) % len(h.all)
 	for priority := math.Inf(1); priority >= 0; {
-		next := noPriority
+		nextPriority := noPriority
 		for i := range h.all {
-			waiting := &h.all[(h.roundRobinStart+i)%len(h.all)]
-			next = max(next, b.serveQueue(now, waiting, priority))
+			current := &h.all[(h.roundRobinStart+i)%len(h.all)]
+			nextPriority = max(nextPriority, b.serveQueue(now, current, priority))
 		}
-		priority = next
+		priority = nextPriority
 	}
 }
 
-// serveQueue sends what it can of the requests of one priority in a queue, and
-// returns the next lower priority there, or noPriority. Retries of a lower
-// priority go with the first requests behind them; one that no endpoint can
-// take holds back none of those.
+// serveQueue dispatches the requests of one priority in a queue as far as possible, and returns the
+// next lower priority in the queue, or noPriority. Retries of a lower priority are dispatched
+// together with the first requests behind them. A retry that no endpoint can take does not block
+// the requests behind it.
 func (b *Balancer) serveQueue(now time.Duration, h *bulkhead, priority float64) float64 {
 	if highest := h.maxPriority(); highest < priority {
 		return highest
 	}
-	for n := 0; n < len(h.queue) && !h.full(); {
-		r := h.queue[n]
+	for i := 0; i < len(h.queue) && !h.full(); {
+		r := h.queue[i]
 		isRetry := len(r.attempts) > 0
 		switch {
 		case r.class.PriorityWeight > priority:
-			n++ // had its turn at its own priority
+			i++ // was tried at its own priority
 		case r.class.PriorityWeight < priority && !isRetry:
 			return r.class.PriorityWeight
 		case now >= r.latestStart():
-			b.rejectOrFail(now, r) // which takes it out of the queue
+			b.rejectOrFail(now, r) // also removes it from the queue
 		case b.dispatch(now, r):
-			h.queue = slices.Delete(h.queue, n, n+1)
+			h.queue = slices.Delete(h.queue, i, i+1)
 		case !isRetry && r.firstOfKey(now):
-			return noPriority // it could go to any endpoint, so nothing behind it can go
+			return noPriority // every endpoint is allowed for it, so requests behind it cannot be sent either
 		default:
-			n++ // bound to some endpoints, or behind its key: others may go
+			i++ // only some endpoints are allowed for it, or it waits for its key: others may be sent
 		}
 	}
 	return noPriority
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -8,38 +8,39 @@
 	"time"
 )
 
-// A tenant that floods the balancer must not take the slots of another one. Its own surplus is rejected at once with a
-// Retry-After, or clients would wait in vain; a slot that becomes free goes to the request that waited first.
+// A tenant that floods the balancer must not take the slots of another tenant. Its excess requests are
+// rejected at once with a Retry-After, as their clients would wait in vain. A slot that becomes free goes to
+// the first request in the queue.
 func TestBulkheadSlotsAndQueue(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and a queue of 1
+	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots, queue of 1
 	if b.FreeSlots(0) != 6 || b.FreeSlots(1) != 2 || b.FreeQueue(0) != 1 || b.FreeQueue(1) != 1 {
-		t.Fatalf("free slots %d and %d, free queue places %d and %d; want 6 and 2, 1 and 1",
+		t.Fatalf("free slots = %d and %d, free queue places = %d and %d; want 6 and 2, 1 and 1",
 			b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(0), b.FreeQueue(1))
 	}
 	for id := range RequestID(10) {
 		submit(b, 0, id, idempotentClass)
 	}
 	if len(h.sends) != 6 || b.FreeQueue(0) != 0 {
-		t.Fatalf("%d sent, %d queue places free; want 6 and 0", len(h.sends), b.FreeQueue(0))
+		t.Fatalf("%d requests sent, %d free queue places; want 6 and 0", len(h.sends), b.FreeQueue(0))
 	}
 	if retryAfter, ok := h.rejected[9]; !ok || retryAfter <= 0 || retryAfter > time.Second {
-		t.Fatalf("tenth request rejected: %v, with Retry-After %v; want a rejection at once, within a second", ok, retryAfter)
+		t.Fatalf("tenth request rejected = %v, with Retry-After %v; want true, with at most 1 s", ok, retryAfter)
 	}
 	if b.FreeSlots(1) != 2 {
-		t.Fatalf("tenant 1 lost slots to tenant 0")
+		t.Fatalf("tenant 0 took slots of tenant 1")
 	}
 	b.Request(0, Request{ID: 20, Class: idempotentClass, Tenant: 1, Timeout: 2 * time.Second})
 	if len(h.sends) != 7 {
-		t.Fatalf("the bulkhead of tenant 1 did not send while that of tenant 0 was full")
+		t.Fatalf("request of tenant 1 not sent while the bulkhead of tenant 0 was full")
 	}
 	finish(b, 50*ms, 0, 0, Succeeded)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
-		t.Fatalf("sends %v: the free slot did not go to the first request in the queue", h.sends)
+		t.Fatalf("sends = %v, want the free slot given to the first request in the queue, 6", h.sends)
 	}
 }
 
-// Where operators set no slots, a balancer derives them from the quotas. Too many would let the fleet overload the
-// endpoints, and fewer than one for a tenant would lock it out.
+// If no slots are configured, a balancer derives them from the quotas. Too many slots would let the fleet
+// overload the endpoints, and a tenant with none could not send at all.
 func TestSlotsDerivedFromQuotas(t *testing.T) {
 	for _, balancers := range []int{1, 4, 64} {
 		t.Run(fmt.Sprintf("balancers=%d", balancers), func(t *testing.T) {
@@ -48,15 +49,15 @@
 			b, _ := start(t, cfg, ready(1))
 			fleet := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
 			if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > fleet {
-				t.Errorf("%d slots, want 2 to %.0f", b.bulkheads.slots, fleet)
+				t.Errorf("slots = %d, want 2 to %.0f", b.bulkheads.slots, fleet)
 			}
 			if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
-				t.Errorf("slots of the tenants %d and %d, queue of the second %d; want more for the first and a queue",
+				t.Errorf("tenants have %d and %d slots, tenant 1 a queue of %d; want no fewer slots for tenant 0, and a queue",
 					b.FreeSlots(0), b.FreeSlots(1), b.FreeQueue(1))
 			}
 		})
 	}
-	t.Run("no tenants", func(t *testing.T) { // and so no quota: one bulkhead, sized by the first endpoint list
+	t.Run("no tenants", func(t *testing.T) { // no quota either: one bulkhead, sized by the first endpoint list
 		cfg := testConfig()
 		cfg.Slots, cfg.Tenants, cfg.Balancers = 0, nil, 4
 		b, h := start(t, cfg, ready(1, 2))
@@ -67,67 +68,68 @@
 	})
 }
 
-// A request of high priority was rejected because the queue was full of requests of low priority. It has to take the
-// place of the last of these, whose client is notified at once, and the next free slot.
+// A request of high priority was rejected because the queue was full of requests of low priority. It has to
+// replace the last of these, which is rejected at once, and has to get the next free slot.
 func TestHigherPriorityEvictsFromFullQueue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].PriorityWeight = 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
 	b.bulkheads.all[0].slots, b.bulkheads.all[0].queueCapacity = 1, 2
-	submit(b, 0, 1, 0) // has the slot
+	submit(b, 0, 1, 0) // occupies the slot
 	submit(b, 0, 2, 0)
-	submit(b, 0, 3, 0) // the queue is full
+	submit(b, 0, 3, 0) // fills the queue
 	submit(b, 0, 4, 1)
 	if _, rejected := h.rejected[3]; !rejected || len(h.rejected) != 1 {
-		t.Fatalf("rejected %v, want the last request of low priority, 3", h.rejected)
+		t.Fatalf("rejected = %v, want the last request of low priority, 3", h.rejected)
 	}
 	submit(b, 0, 5, 0)
 	if _, rejected := h.rejected[5]; !rejected {
-		t.Fatal("a request of low priority was let into a full queue")
+		t.Fatal("request of low priority not rejected while the queue was full")
 	}
 	finish(b, 10*ms, 1, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 4 {
-		t.Fatalf("request %d has the free slot, want that of the highest priority, 4", last.id)
+		t.Fatalf("request %d got the free slot, want the one of the highest priority, 4", last.id)
 	}
 	finish(b, 20*ms, 4, 0, Succeeded)
 	if last := h.sends[len(h.sends)-1]; last.id != 2 {
-		t.Fatalf("request %d has the free slot, want the one that waited, 2", last.id)
+		t.Fatalf("request %d got the free slot, want the one that waited, 2", last.id)
 	}
 }
 
-// While no endpoint is known, a request waits in the queue, but not for so long that its client learns nothing before
-// its latency objective.
+// While no endpoint is known, a request waits in the queue, but it must be rejected before its latency
+// objective has passed.
 func TestQueuedRequestIsRejectedBeforeItsObjective(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
 	submit(b, 0, 1, nonIdempotentClass)
 	if len(h.rejected) != 0 {
-		t.Fatal("rejected at once, though the queue has capacity")
+		t.Fatal("request rejected at once although the queue has capacity")
 	}
 	for now := time.Duration(0); now <= time.Second; now += 10 * ms {
 		b.TimerFired(now)
 	}
 	if _, ok := h.rejected[1]; !ok {
-		t.Fatal("still queued when its latency objective had passed")
+		t.Fatal("request still queued after its latency objective had passed")
 	}
 }
 
-// Where endpoints had lost capacity, requests were sent after their wait with just about the usual latency remaining.
-// Every other one timed out, and the endpoints' work was wasted. So a wait ends while a response can still come in time.
+// When endpoints had lost capacity, requests were sent after a wait with little more than the mean latency
+// left. Half of them timed out, so the endpoints' work was wasted. The wait has to end while a response can
+// still be in time.
 func TestQueuedRequestIsRejectedWhenTooLateToStart(t *testing.T) {
 	b, h := start(t, testConfig(), nil)
-	submit(b, 0, 1, idempotentClass) // a latency objective of 1 s, a usual latency of 125 ms
+	submit(b, 0, 1, idempotentClass) // latency objective 1 s, mean latency 125 ms
 	b.TimerFired(740 * ms)
 	if len(h.rejected) != 0 {
-		t.Fatal("rejected with over twice the usual latency remaining")
+		t.Fatal("request rejected with more than twice the mean latency remaining")
 	}
 	b.UpdateEndpoints(760*ms, FullUpdate, ready(1))
 	if _, rejected := h.rejected[1]; !rejected {
-		t.Fatalf("sent %v after a wait, with less than twice the usual latency remaining", h.sends)
+		t.Fatalf("sends = %v, want a rejection with less than twice the mean latency remaining", h.sends)
 	}
 }
 
-// queued makes requests with these priority weights.
+// queued returns requests with these priority weights.
 func queued(priorities ...float64) (requests []*request) {
 	for _, priority := range priorities {
 		requests = append(requests, &request{class: &class{Class: Class{PriorityWeight: priority}}})
@@ -160,7 +162,7 @@
 	h := bulkheads{all: make([]bulkhead, 3), slots: 99}
 	h.resize([]Tenant{{Weight: 6}, {Weight: 3}, {Weight: 1}}, 40, 0)
 	if h.all[0].slots != 24 || h.all[1].slots != 12 || h.all[2].slots != 4 || h.slots != 40 {
-		t.Errorf("slots %d, %d and %d, of %d; want 24, 12 and 4 of 40", h.all[0].slots, h.all[1].slots, h.all[2].slots, h.slots)
+		t.Errorf("slots = %d, %d and %d, in total %d; want 24, 12 and 4, in total 40", h.all[0].slots, h.all[1].slots, h.all[2].slots, h.slots)
 	}
 }
 
@@ -169,7 +171,7 @@
 		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
 			h := bulkhead{slots: 2, used: used}
 			if got := h.full(); got != want {
-				t.Errorf("full: %v, want %v", got, want)
+				t.Errorf("full = %v, want %v", got, want)
 			}
 		})
 	}
@@ -199,7 +201,7 @@
 				got = slices.Index(h.queue, evicted)
 			}
 			if got != c.evicted {
-				t.Errorf("evicted %d, want %d", got, c.evicted)
+				t.Errorf("evicted = %d, want %d", got, c.evicted)
 			}
 		})
 	}
@@ -218,22 +220,23 @@
 		return order
 	}
 	if got := order(); !slices.Equal(got, []int{1, 3, 4, 0, 2}) {
-		t.Fatalf("pushed in the order %v, want by priority and then arrival: 1 3 4 0 2", got)
+		t.Fatalf("order after pushes = %v, want by priority and then arrival: 1 3 4 0 2", got)
 	}
 	h.removeQueued(requests[4])
-	h.removeQueued(requests[4]) // not there any more
+	h.removeQueued(requests[4]) // no longer in the queue
 	if got := order(); !slices.Equal(got, []int{1, 3, 0, 2}) {
-		t.Fatalf("order %v after a removal, want 1 3 0 2", got)
+		t.Fatalf("order after a removal = %v, want 1 3 0 2", got)
 	}
 	h.removeQueued(requests[0])
 	h.pushFront(requests[0])
 	if got := order(); !slices.Equal(got, []int{0, 1, 3, 2}) {
-		t.Fatalf("order %v after a request was pushed to the front, want 0 1 3 2", got)
+		t.Fatalf("order after a push to the front = %v, want 0 1 3 2", got)
 	}
 }
 
-// Without quotas the slots follow from the number of endpoints. They were set once, by the first list that was not
-// empty: one that was old, or came while most endpoints were away, kept them at a fraction for good.
+// Without quotas, the slots depend on the number of endpoints. They were set once, by the first endpoint list
+// that was not empty. If that list was outdated, or came while most endpoints were missing, the slots stayed
+// at a fraction permanently.
 func TestBulkheadsGrowWithEndpointList(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Slots = nil, 0
@@ -249,18 +252,19 @@
 			b, _ := start(t, cfg, firstList)
 			b.UpdateEndpoints(time.Second, FullUpdate, all)
 			if got := b.FreeSlots(0); got != want {
-				t.Errorf("%d slots, want %d as with all endpoints in the first list", got, want)
+				t.Errorf("free slots = %d, want %d as with all endpoints in the first list", got, want)
 			}
 			b.UpdateEndpoints(2*time.Second, FullUpdate, all[:1])
 			if got := b.FreeSlots(0); got != want {
-				t.Errorf("%d slots after most endpoints left, want still %d", got, want)
+				t.Errorf("free slots = %d after most endpoints were removed, want %d as before", got, want)
 			}
 		})
 	}
 }
 
-// A retry stands at the front of its queue, and no endpoint can take it: it has been to all that its class allows.
-// Requests of a higher priority behind it waited as long as it did, though slots and endpoints were free.
+// A retry at the front of its queue has no endpoint left, because its request has been to all endpoints that
+// its class allows. Requests of a higher priority behind it waited as long as it did, although there were
+// free slots and endpoints.
 func TestRetryWithoutEndpointDoesNotBlockQueue(t *testing.T) {
 	const low, high = 0, 1
 	for _, c := range []struct {
@@ -280,7 +284,7 @@
 			}
 			cfg.Classes[low].PriorityWeight, cfg.Classes[high].PriorityWeight = 1, 8
 			for i := range c.endpoints {
-				c.endpoints[i].Cell = i // each of its own
+				c.endpoints[i].Cell = i // every endpoint in a cell of its own
 			}
 			b, h := start(t, cfg, c.endpoints)
 			b.bulkheads.all[0].slots = 1
@@ -289,13 +293,13 @@
 			finish(b, 10*ms, 1, 0, ConnectionLost)
 			b.TimerFired(20 * ms)
 			if last := h.sends[len(h.sends)-1]; last.id != 2 {
-				t.Errorf("request 2 waits behind the retry of request 1, with a free slot; sends %v", h.sends)
+				t.Errorf("request 2 not sent although a slot is free: sends = %v", h.sends)
 			}
 		})
 	}
 }
 
-// A retry that an endpoint can take goes before requests of a higher priority in its queue.
+// A retry that an endpoint can take is sent before requests of a higher priority in its queue.
 func TestRetryIsServedBeforeHigherPriority(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
@@ -306,9 +310,9 @@
 	submit(b, 0, 2, 1) // waits for the slot
 	b.endpoints.find(1).State, b.endpoints.find(2).State = Draining, Draining
 	b.endpoints.find(3).State, b.endpoints.find(4).State = Draining, Draining
-	finish(b, 10*ms, 1, 0, ServerError) // no endpoint can take the retry: it waits at the front
+	finish(b, 10*ms, 1, 0, ServerError) // no endpoint can take the retry, so it waits at the front
 	b.UpdateEndpoints(20*ms, FullUpdate, ready(1, 2, 3, 4))
 	if second := h.sends[1]; second.id != 1 {
-		t.Errorf("sends %v, want the retry of request 1 second", h.sends)
+		t.Errorf("sends = %v, want the retry of request 1 second", h.sends)
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency states whether a request of a class may run more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated and rejected at will
-	IdempotentByKey                    // carries an idempotency key: endpoints drop duplicates, within limits
-	NonIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // may be repeated or rejected at any time
+	IdempotentByKey                    // endpoints drop duplicates by idempotency key: see DedupScope
+	NonIdempotent                      // must not run twice
 )
 
-// DedupScope is the group of endpoints that drops duplicates of a request
-// with an idempotency key.
+// DedupScope is the group of endpoints that drop duplicates of a request with an idempotency key.
 type DedupScope int
 
-// The scopes of deduplication.
+// The deduplication scopes.
 const (
 	DedupEverywhere DedupScope = iota
 	DedupInZone
@@ -29,67 +28,67 @@
 
 // Class describes one kind of request.
 type Class struct {
-	LatencyObjective time.Duration // responses within this earn full value
+	LatencyObjective time.Duration // a response within it has its full value
 	ObjectivePerWork float64       // the objective grows by this multiple of the request's expected work
-	Deadline         time.Duration // a client waits this long in all, over its own retries
-	LateValue        float64       // fraction of the value that a response after the objective still earns
-	PriorityWeight   float64       // value of a response; a higher one is preferred under overload
+	Deadline         time.Duration // total time that a client waits, including its own retries
+	LateValue        float64       // fraction of its value that a response keeps after the latency objective
+	PriorityWeight   float64       // value of a response; higher values are preferred under overload
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // IdempotentByKey only
-	DedupWindow      time.Duration // IdempotentByKey only: duplicates are dropped this long after the first send
-	OrderedByKey     bool          // requests that share a Request.Key run one at a time, in order of arrival
+	DedupWindow      time.Duration // IdempotentByKey only: how long duplicates are dropped after the first send
+	OrderedByKey     bool          // requests with the same Request.Key run one at a time, in order of arrival
 }
 
 // Tenant is one customer with a share of the service.
 type Tenant struct {
-	Weight float64 // share of the service, relative to the other tenants' weights
+	Weight float64 // share of the service, relative to the weights of the other tenants
 	Quota  float64 // requests per second within its share, over all balancers; 0: unknown
 }
 
-// RetryBudget limits attempts after each request's first: within any Interval
-// there are at most MinRetries plus RetryRatio for each request taken in it.
+// RetryBudget limits retries, that is attempts after a request's first. Any Interval has at most
+// MinRetries retries, plus RetryRatio for each request received in it.
 type RetryBudget struct {
 	Interval   time.Duration // 0: no limit
 	MinRetries float64
 	RetryRatio float64
 }
 
-// Config holds the settings of a Balancer. A Balancer does not change them.
+// Config holds the settings of a Balancer. A Balancer does not modify them.
 type Config struct {
-	Balancers int // balancers that send to the same endpoints, this one included
-	Index     int // this balancer's number among them, from 0
-	Zone      int // the zone this balancer is in
+	Balancers int // number of balancers that send to the same endpoints, including this one
+	Index     int // number of this balancer, from 0
+	Zone      int // zone of this balancer
 	Classes   []Class
-	Tenants   []Tenant // may be empty: all requests share one bulkhead
+	Tenants   []Tenant // if empty, all requests share one bulkhead
 
-	Slots int // concurrent attempts of this balancer, over all bulkheads; 0: derived from quotas
+	Slots int // concurrent attempts of this balancer over all bulkheads; 0: derived from quotas or endpoints
 
-	MaxAttempts        int           // attempts for one request
+	MaxAttempts        int           // maximum number of attempts for one request
 	CanCancel          bool          // Host.Cancel may be used
 	CanHealthCheck     bool          // Host.HealthCheck may be used
 	CanGossip          bool          // Host.Broadcast may be used
-	MaxRetryAfter      time.Duration // the longest Retry-After that clients heed
-	ClientsMarkRetries bool          // clients mark their own retries: Request.ClientRetry
+	MaxRetryAfter      time.Duration // longest Retry-After that clients respect
+	ClientsMarkRetries bool          // clients mark their retries: see Request.ClientRetry
 
-	RetryBudget      RetryBudget   // the zero value: no limit
-	OrderingDelay    time.Duration // a key is blocked this long after an attempt that may still be running
-	IdleCloseTimeout time.Duration // idle connections to a draining endpoint are closed this soon; 0: not closed
+	RetryBudget      RetryBudget   // zero value: no limit
+	OrderingDelay    time.Duration // blocks a key this long after an attempt that may still be running
+	IdleCloseTimeout time.Duration // time to close idle connections to a draining endpoint; 0: not closed
 
-	EventInterval time.Duration // events come at most this often
+	EventInterval time.Duration // minimum time between events
 
-	PollsEndpoints bool          // the endpoint list has to be polled
-	PollInterval   time.Duration // not polled for this long, a change counts as notified; 0: unknown
+	PollsEndpoints bool          // the endpoint list must be polled
+	PollInterval   time.Duration // time without a poll after which a change counts as notified; 0: unknown
 
-	SlowStartFraction float64       // fraction of its capacity that an endpoint has at its start
-	SlowStartDuration time.Duration // after this it has all of its capacity
-	OverloadFactor    float64       // an endpoint in slow start fails above this multiple of its capacity then
+	SlowStartFraction float64       // fraction of its capacity that an endpoint has when it starts
+	SlowStartDuration time.Duration // time from its start until an endpoint has its full capacity
+	OverloadFactor    float64       // an endpoint in slow start fails above this multiple of its capacity
 
-	ReportFields ReportFields // what endpoints' load reports hold
+	ReportFields ReportFields // fields in the load reports of endpoints
 
-	CrossZoneCost float64 // cost of an attempt that leaves the zone, relative to a priority weight of 1
+	CrossZoneCost float64 // cost of an attempt to another zone, relative to a priority weight of 1
 }
 
-// ConfigError says which field of a Config cannot be used, and why.
+// ConfigError reports an invalid field of a Config.
 type ConfigError struct {
 	Field  string // e.g. "Classes[2]"
 	Reason string
@@ -97,7 +96,7 @@
 
 func (e *ConfigError) Error() string { return "config: " + e.Field + " " + e.Reason }
 
-// validate returns a *ConfigError for the first unusable field, or nil.
+// validate returns a *ConfigError for the first invalid field, or nil.
 func (c *Config) validate() error {
 	if err := c.validateLimits(); err != nil {
 		return err
@@ -113,30 +112,30 @@
 	return validateTenants(c.Tenants)
 }
 
-// validateLimits checks the fields that stand alone.
+// validateLimits checks the fields that do not depend on others.
 func (c *Config) validateLimits() error {
 	switch {
 	case c.Balancers < 1:
-		return configError("Balancers", "is %d, at least 1 is needed", c.Balancers)
+		return configError("Balancers", "must be at least 1, got %d", c.Balancers)
 	case c.Index < 0:
-		return configError("Index", "is %d, it must not be negative", c.Index)
+		return configError("Index", "must not be negative, got %d", c.Index)
 	case len(c.Classes) == 0:
-		return configError("Classes", "is empty")
+		return configError("Classes", "must not be empty")
 	case c.MaxAttempts < 1:
-		return configError("MaxAttempts", "is %d, at least 1 is needed", c.MaxAttempts)
+		return configError("MaxAttempts", "must be at least 1, got %d", c.MaxAttempts)
 	case c.Slots < 0:
-		return configError("Slots", "is %d, it must not be negative", c.Slots)
+		return configError("Slots", "must not be negative, got %d", c.Slots)
 	case negativeOrNonFinite(c.SlowStartFraction) || c.SlowStartFraction > 1:
-		return configError("SlowStartFraction", "is %v, it must be from 0 to 1", c.SlowStartFraction)
+		return configError("SlowStartFraction", "must be from 0 to 1, got %v", c.SlowStartFraction)
 	case negativeOrNonFinite(c.OverloadFactor):
-		return configError("OverloadFactor", "is %v, it must be a number from 0", c.OverloadFactor)
+		return configError("OverloadFactor", "must be finite and not negative, got %v", c.OverloadFactor)
 	case negativeOrNonFinite(c.CrossZoneCost):
-		return configError("CrossZoneCost", "is %v, it must be a number from 0", c.CrossZoneCost)
+		return configError("CrossZoneCost", "must be finite and not negative, got %v", c.CrossZoneCost)
 	}
 	return c.validateDurations()
 }
 
-// validateDurations checks that no time is negative.
+// validateDurations checks that no duration is negative.
 func (c *Config) validateDurations() error {
 	for _, d := range []struct {
 		field string
@@ -150,7 +149,7 @@
 		{"SlowStartDuration", c.SlowStartDuration},
 	} {
 		if d.value < 0 {
-			return configError(d.field, "is %v, it must not be negative", d.value)
+			return configError(d.field, "must not be negative, got %v", d.value)
 		}
 	}
 	return nil
@@ -159,11 +158,12 @@
 func (r RetryBudget) validate() error {
 	if r.Interval < 0 || negativeOrNonFinite(r.MinRetries) || negativeOrNonFinite(r.RetryRatio) {
 		return configError("RetryBudget",
-			"has Interval %v, MinRetries %v and RetryRatio %v, all must be numbers from 0",
+			"must be finite and not negative, got Interval %v, MinRetries %v and RetryRatio %v",
 			r.Interval, r.MinRetries, r.RetryRatio)
 	}
 	if r.Interval == 0 && r != (RetryBudget{}) {
-		return configError("RetryBudget", "has no Interval, though MinRetries %v and RetryRatio %v are set",
+		return configError("RetryBudget",
+			"must have an Interval, got MinRetries %v and RetryRatio %v without one",
 			r.MinRetries, r.RetryRatio)
 	}
 	return nil
@@ -172,11 +172,14 @@
 func (c *Class) validate(index int) error {
 	field := fmt.Sprintf("Classes[%d]", index)
 	if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
-		return configError(field, "has LatencyObjective %v, Deadline %v and DedupWindow %v, which cannot be used",
+		return configError(field,
+			"must have LatencyObjective and Deadline above 0 and DedupWindow not below 0, got %v, %v and %v",
 			c.LatencyObjective, c.Deadline, c.DedupWindow)
 	}
-	if negativeOrNonFinite(c.ObjectivePerWork) || negativeOrNonFinite(c.LateValue) || negativeOrNonFinite(c.PriorityWeight) {
-		return configError(field, "has ObjectivePerWork, LateValue or PriorityWeight that is no number from 0")
+	if negativeOrNonFinite(c.ObjectivePerWork) || negativeOrNonFinite(c.LateValue) ||
+		negativeOrNonFinite(c.PriorityWeight) {
+		return configError(field,
+			"must have finite, non-negative ObjectivePerWork, LateValue and PriorityWeight")
 	}
 	return nil
 }
@@ -186,24 +189,25 @@
 	for i, t := range tenants {
 		if negativeOrNonFinite(t.Weight) || negativeOrNonFinite(t.Quota) {
 			field := fmt.Sprintf("Tenants[%d]", i)
-			return configError(field, "has Weight %v and Quota %v, both must be numbers from 0", t.Weight, t.Quota)
+			return configError(field,
+				"must have finite, non-negative Weight and Quota, got %v and %v", t.Weight, t.Quota)
 		}
 		sum += t.Weight
 	}
 	if len(tenants) > 0 && (sum <= 0 || math.IsInf(sum, 0)) {
-		return configError("Tenants", "have weights whose sum adds up to %v", sum)
+		return configError("Tenants", "must have a finite, positive sum of weights, got %v", sum)
 	}
 	return nil
 }
 
-// unusable says that a figure is negative, infinite or not a number.
+// negativeOrNonFinite reports whether f is negative, infinite or NaN.
 func negativeOrNonFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
-func configError(field, reason string, args ...any) error {
-	return &ConfigError{Field: field, Reason: fmt.Sprintf(reason, args...)}
+func configError(field, format string, args ...any) error {
+	return &ConfigError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// tenants returns the tenants, or one for all requests where none are set.
+// tenants returns the configured tenants, or one tenant for all requests if there are none.
 func (c *Config) tenants() []Tenant {
 	if len(c.Tenants) == 0 {
 		return []Tenant{{Weight: 1}}
@@ -211,6 +215,5 @@
 	return c.Tenants
 }
 
-// evenPart returns the part of a fleet-wide figure that falls to each
-// balancer if all get the same.
+// evenShare returns the share of each balancer if a fleet-wide total is divided evenly.
 func (c *Config) evenPart(total float64) float64 { return total / float64(c.Balancers) }
--- a/policy/config_test.go
+++ b/policy/config_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// Operators fix a setting that cannot be used only if the error says which one it is.
+// Operators can correct an invalid setting only if the error names it.
 func TestNewErrorNamesInvalidField(t *testing.T) {
 	for _, c := range []struct {
-		field string // or a part of the message
-		spoil func(*Config)
+		field      string // a field or another part of the message
+		invalidate func(*Config)
 	}{
 		{"Balancers", func(c *Config) { c.Balancers = 0 }},
 		{"Classes", func(c *Config) { c.Classes = nil }},
@@ -26,19 +26,19 @@
 		{"LateValue", func(c *Config) { c.Classes[0].LateValue = math.NaN() }},
 		{"Weight", func(c *Config) { c.Tenants[1].Weight = -0.1 }},
 		{"Quota", func(c *Config) { c.Tenants[1].Quota = math.NaN() }},
-		{"adds up to 0", func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} }},
+		{"sum of weights, got 0", func(c *Config) { c.Tenants = []Tenant{{Quota: 5}} }},
 		{"MaxRetryAfter", func(c *Config) { c.MaxRetryAfter = -1 }},
 	} {
 		t.Run(c.field, func(t *testing.T) {
 			cfg := testConfig()
-			c.spoil(&cfg)
+			c.invalidate(&cfg)
 			_, err := New(cfg, 1, newFakeHost())
 			if err == nil || !strings.Contains(err.Error(), c.field) {
-				t.Fatalf("error %v does not name it", err)
+				t.Fatalf("New error = %v, want one that names the invalid field", err)
 			}
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) {
-				t.Errorf("error of type %T, want *ConfigError", err)
+				t.Errorf("New error is of type %T, want *ConfigError", err)
 			}
 		})
 	}
@@ -46,9 +46,9 @@
 
 func TestConfigErrorField(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		field string
-		spoil func(*Config)
+		name       string
+		field      string
+		invalidate func(*Config)
 	}{
 		{"negative index", "Index", func(c *Config) { c.Index = -1 }},
 		{"negative cross-zone cost", "CrossZoneCost", func(c *Config) { c.CrossZoneCost = -0.1 }},
@@ -69,11 +69,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			c.spoil(&cfg)
+			c.invalidate(&cfg)
 			_, err := New(cfg, 1, newFakeHost())
 			var configErr *ConfigError
 			if !errors.As(err, &configErr) || configErr.Field != c.field {
-				t.Errorf("error %v, want one for %s", err, c.field)
+				t.Errorf("New error = %v, want a ConfigError for %s", err, c.field)
 			}
 		})
 	}
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// eligible is the one gate before a send: whether the rules let a request go
-// to an endpoint now. The picker chooses among what it allows, and passes over
-// more: endpoints that the request has been to, ejected ones and those at their
-// limit.
+// eligible reports whether the rules allow a request to be sent to an endpoint now. Every send
+// passes this check. The picker chooses among the endpoints that it allows, and also skips those
+// that the request was already sent to, that are ejected or that are at their limit.
 func (b *Balancer) eligible(now time.Duration, r *request, e *endpoint) bool {
 	switch {
 	case r.closed || r.streaming || now >= r.deadline:
-		return false // one answer for each request, in time
+		return false // each request has one answer, before its deadline
 	case len(r.attempts) >= b.cfg.MaxAttempts:
 		return false
 	case e.State != Ready:
-		return false // nothing new for an endpoint that is draining or removed
+		return false // draining and removed endpoints get no new requests
 	case b.slowStartBlocked(now, e):
-		return false // no overload of an endpoint in slow start
+		return false // an endpoint in slow start must not be overloaded
 	case r.inFlight > 0:
 		return false // no hedged requests: one attempt at a time
 	case !r.mayRetryAt(now, e):
-		return false // a class that must not run twice does not
+		return false // the class may forbid that the request runs twice
 	case !r.firstOfKey(now):
 		return false // requests of one key run in order
 	case len(r.attempts) > 0 && b.retryBudget.exhausted(now):
@@ -28,9 +27,9 @@
 	return true
 }
 
-// dispatch sends a request if its bulkhead has a free slot, the concurrency
-// limit allows it and an endpoint can be picked. The limit is beside those of
-// endpoints because one attempt each of many balancers is congestion too.
+// dispatch sends a request if its bulkhead has a free slot, the concurrency limit allows it and an
+// endpoint can be picked. The concurrency limit applies in addition to the limits of the endpoints,
+// as single attempts of many balancers add up to congestion too.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
 	if r.bulkhead.full() {
 		return false
@@ -43,8 +42,8 @@
 	return e != nil && b.send(now, r, e)
 }
 
-// send starts an attempt, if the gate allows it. It is the only place that
-// does, so nothing is sent past the gate.
+// send starts an attempt if the request is eligible. No other function calls Host.Send, so no
+// attempt bypasses the check.
 func (b *Balancer) send(now time.Duration, r *request, e *endpoint) bool {
 	if !b.eligible(now, r, e) {
 		return false
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Whatever else goes wrong, nothing may be sent for a request that has its answer, has begun to stream one, is past its
-// deadline, has an attempt in flight or has had all its attempts: a client would get two answers, or a class that must
-// not run twice would.
+// Whatever other faults there are, nothing may be sent for a request that has been answered, is streaming its
+// response, is past its deadline, has an attempt in flight or has no attempts left. Otherwise a client could
+// get two answers, or a request that must not run twice could do so.
 func TestEligibility(t *testing.T) {
 	const now = 100 * ms
 	for _, c := range []struct {
@@ -27,7 +27,7 @@
 			r := c.request
 			r.class = &b.classes[idempotentClass]
 			if got := b.eligible(now, &r, b.endpoints.all[0]); got != c.want {
-				t.Errorf("eligible: %v, want %v", got, c.want)
+				t.Errorf("eligible = %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// minKeyQueues is how many key queues are kept before empty ones are removed.
+// minKeyQueues is how many key queues, besides two for each open request, are kept before unused
+// ones are removed.
 const minKeyQueues = 64
 
-// keyQueue is the requests of one key that run in order of arrival: each until
-// it has ended and none of its attempts is in flight.
+// keyQueue holds the requests of one key, which run one at a time in order of arrival. A request
+// leaves the queue when it is closed and none of its attempts is in flight.
 type keyQueue struct {
 	requests     []*request
-	blockedUntil time.Duration // an attempt may still be running until then
+	blockedUntil time.Duration // an attempt of an earlier request may still be running until then
 }
 
-// remove takes a request out of the queue.
+// remove removes a request from the queue.
 func (q *keyQueue) remove(r *request) {
 	i := slices.Index(q.requests, r)
 	q.requests = slices.Delete(q.requests, i, i+1)
@@ -24,12 +25,12 @@
 
 // keyOrdering holds the queues of all keys.
 type keyOrdering struct {
-	delay  time.Duration // a key is blocked this long after an attempt that may still be running
-	queues map[uint64]*keyQueue
+	delay  time.Duration        // how long a key is blocked after an attempt that may still be running
+	queues map[uint64]*keyQueue // by Request.Key
 }
 
-// join puts a request at the end of its key's queue. Once there are many more
-// queues than requests, those that nobody waits in are removed.
+// join adds a request to the end of its key's queue. If there are many more queues than open
+// requests, it removes the queues that are empty and not blocked.
 func (o *keyOrdering) join(now time.Duration, r *request, openRequests int) {
 	if len(o.queues) > minKeyQueues+2*openRequests {
 		maps.DeleteFunc(o.queues, func(_ uint64, q *keyQueue) bool {
@@ -45,8 +46,7 @@
 	r.keyQueue = q
 }
 
-// attemptEnded blocks the key for a while where the endpoint may still be
-// working on the attempt.
+// attemptEnded blocks the key for a while if the endpoint may still be processing the attempt.
 func (o *keyOrdering) attemptEnded(now time.Duration, r *request, result Result) {
 	if r.keyQueue == nil {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// firstOfKey says that a request is the first of its key, and that no attempt
-// of an earlier one may still be running.
+// firstOfKey reports whether the request is the first of its key and no attempt of an earlier
+// request may still be running. Retries of a request are not blocked by its own attempts.
 func (r *request) firstOfKey(now time.Duration) bool {
 	if r.keyQueue == nil {
 		return true
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// orderedConfig has one class, whose requests of one key run in order.
+// orderedConfig returns a configuration with one class, whose requests of one key run in order.
 func orderedConfig(delay time.Duration) Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
@@ -14,7 +14,7 @@
 	return cfg
 }
 
-// sentRequestIDs returns the request of each attempt, in order.
+// sentRequestIDs returns the request ID of each attempt, in order of sending.
 func sentRequestIDs(h *fakeHost) (ids []RequestID) {
 	for _, s := range h.sends {
 		ids = append(ids, s.id)
@@ -22,9 +22,9 @@
 	return ids
 }
 
-// Two updates of one record that run at the same time, or in the wrong order, lose one of them. So requests of one key
-// run one at a time in order of arrival, also behind an attempt that was cancelled and may still be running. Requests
-// of other keys, or of none, do not wait for them.
+// If two updates of one record run at the same time or in the wrong order, one of them is lost. So requests
+// of one key run one at a time in order of arrival, even after an attempt that was cancelled and may still be
+// running. Requests of other keys, or without a key, do not wait for them.
 func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
 	b, h := start(t, orderedConfig(100*ms), ready(1, 2, 3))
 	for id := range RequestID(3) {
@@ -33,33 +33,33 @@
 	b.Request(0, Request{ID: 3, Key: 8, Timeout: 2 * time.Second})
 	b.Request(0, Request{ID: 4, Timeout: 2 * time.Second})
 	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4}) {
-		t.Fatalf("sent %v, want the first of each key", got)
+		t.Fatalf("sent = %v, want the first request of each key", got)
 	}
-	finish(b, 10*ms, 0, 0, Rejected) // its own retry is not delayed, and nothing overtakes it
+	finish(b, 10*ms, 0, 0, Rejected) // the retry is sent at once, and before the next request of the key
 	finish(b, 20*ms, 0, 1, Succeeded)
 	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1}) {
-		t.Fatalf("sent %v, want a retry of 0 and then 1", got)
+		t.Fatalf("sent = %v, want a retry of 0 and then 1", got)
 	}
 	b.ClientDisconnected(30*ms, 1)
 	b.TimerFired(40 * ms)
 	if got := sentRequestIDs(h); len(got) != 5 {
-		t.Fatalf("sent %v though the attempt of 1 is still in flight", got)
+		t.Fatalf("sent = %v, want nothing new while the attempt of 1 is in flight", got)
 	}
 	finish(b, 50*ms, 1, 0, Cancelled)
 	b.TimerFired(140 * ms)
 	if got := sentRequestIDs(h); len(got) != 5 {
-		t.Fatalf("sent %v though the cancelled attempt may still be running", got)
+		t.Fatalf("sent = %v, want nothing new while the cancelled attempt may still be running", got)
 	}
 	b.TimerFired(160 * ms)
 	if got := sentRequestIDs(h); !slices.Equal(got, []RequestID{0, 3, 4, 0, 1, 2}) {
-		t.Fatalf("sent %v, want 2 after the ordering delay", got)
+		t.Fatalf("sent = %v, want 2 after the ordering delay", got)
 	}
 }
 
-// A request that waits for its key at the front of a queue must not block the requests behind it.
+// A request at the front of a queue that waits for its key must not block the requests behind it.
 func TestOneKeyDoesNotBlockOthers(t *testing.T) {
 	cfg := orderedConfig(0)
-	cfg.Tenants, cfg.Slots = nil, 10 // a queue of 2
+	cfg.Tenants, cfg.Slots = nil, 10 // queue of 2
 	b, h := start(t, cfg, ready(1, 2))
 	for id := range RequestID(2) {
 		b.Request(0, Request{ID: id, Key: 9, Timeout: 2 * time.Second})
@@ -70,7 +70,7 @@
 	n := len(h.sends)
 	finish(b, ms, h.sends[n-1].id, 0, Succeeded)
 	if len(h.sends) != n+1 || h.sends[n].id == 1 {
-		t.Fatalf("sends %+v, want the request behind the one that waits for its key", h.sends[n:])
+		t.Fatalf("sends = %+v, want the request behind the one that waits for its key", h.sends[n:])
 	}
 }
 
@@ -79,7 +79,7 @@
 	for _, c := range []struct {
 		name   string
 		result Result
-		before time.Duration // blocked until this already
+		before time.Duration // blockedUntil before the attempt ended
 		want   time.Duration
 	}{
 		{"succeeded", Succeeded, 0, 0},
@@ -97,7 +97,7 @@
 			r := &request{keyQueue: &keyQueue{blockedUntil: c.before}}
 			o.attemptEnded(now, r, c.result)
 			if got := r.keyQueue.blockedUntil; got != c.want {
-				t.Errorf("blocked until %v, want %v", got, c.want)
+				t.Errorf("blockedUntil = %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 	const now = time.Second
 	for _, c := range []struct {
 		name         string
-		behind       bool // another request of the key
+		behind       bool // another request of the key is first
 		attempts     int
 		blockedUntil time.Duration
 		want         bool
@@ -128,25 +128,25 @@
 			o.join(now, r, 0)
 			r.keyQueue.blockedUntil = c.blockedUntil
 			if got := r.firstOfKey(now); got != c.want {
-				t.Errorf("first of its key: %v, want %v", got, c.want)
+				t.Errorf("firstOfKey = %v, want %v", got, c.want)
 			}
 		})
 	}
 	t.Run("without a key queue", func(t *testing.T) {
 		if !new(request).firstOfKey(now) {
-			t.Error("a request that need not run in order is not first")
+			t.Error("firstOfKey = false for a request without a key queue, want true")
 		}
 	})
 }
 
-// The queues of keys that nobody uses any more must not add up in memory. One that is blocked or has requests stays, or
-// the order of its key would be lost.
+// The queues of keys that are no longer in use must not accumulate in memory. A queue that is blocked or has
+// requests is kept, as the order of its key would be lost without it.
 func TestUnusedKeyQueuesAreRemoved(t *testing.T) {
 	const now = time.Second
 	for _, c := range []struct {
-		name             string
-		queues, requests int
-		remaining        int
+		name                 string
+		queues, openRequests int
+		remaining            int
 	}{
 		{"few queues", 64, 0, 65},
 		{"many queues", 65, 0, 3},
@@ -156,13 +156,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			o := keyOrdering{queues: map[uint64]*keyQueue{}}
 			for key := range uint64(c.queues) {
-				o.queues[key+100] = &keyQueue{blockedUntil: now} // over now
+				o.queues[key+100] = &keyQueue{blockedUntil: now} // no longer blocked
 			}
 			o.queues[100].blockedUntil = now + 1
 			o.queues[101].requests = []*request{{}}
-			o.join(now, &request{key: 1}, c.requests)
+			o.join(now, &request{key: 1}, c.openRequests)
 			if len(o.queues) != c.remaining || o.queues[100] == nil || o.queues[101] == nil {
-				t.Errorf("%d queues remain, the blocked one: %v, the one with a request: %v; want %d and both",
+				t.Errorf("%d queues left, blocked one kept = %v, one with a request kept = %v; want %d and both kept",
 					len(o.queues), o.queues[100] != nil, o.queues[101] != nil, c.remaining)
 			}
 		})
--- a/policy/request.go
+++ b/policy/request.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// RequestID names a request; the host picks it and never uses one twice.
+// RequestID identifies a request. The host chooses it and never uses one twice.
 type RequestID uint64
 
 // Request is one client request.
@@ -12,47 +12,46 @@
 	ID           RequestID
 	Class        int
 	Tenant       int
-	Key          uint64        // what the request is about; 0: nothing in particular
-	Timeout      time.Duration // until the client gives up
+	Key          uint64        // identifies the object that the request is about; 0: none
+	Timeout      time.Duration // time until the client gives up
 	ExpectedWork time.Duration // 0: unknown
-	ClientRetry  bool          // known to be a client's own retry
+	ClientRetry  bool          // known to be a client retry
 }
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results of an attempt. Rejected, ConnectFailed and NotSent prove that
-// it never ran; every other one but Succeeded means that it may have run, and
-// so does a value not listed here.
+// The results of an attempt. Rejected, ConnectFailed and NotSent prove that the attempt did not
+// run. After any other result except Succeeded, including values not listed here, the attempt may
+// have run.
 const (
 	Succeeded      Result = iota
-	ServerError           // a response that is no success
-	Rejected              // the endpoint says that it did not process the request
-	TimedOut              // written, and no response in time
-	ConnectFailed         // no connection, or the request was not written to its last byte
-	ConnectionLost        // written, and the connection ended without a complete response
-	Cancelled             // abandoned by Host.Cancel, or with its request
-	NotSent               // not written, for a reason on the sidecar's side; says nothing of the endpoint
+	ServerError           // an unsuccessful response
+	Rejected              // the endpoint reports that it did not process the request
+	TimedOut              // the request was written, but no response came in time
+	ConnectFailed         // there was no connection, or the request was not written completely
+	ConnectionLost        // the request was written, but the connection ended before a complete response
+	Cancelled             // abandoned by Host.Cancel, or together with its request
+	NotSent               // not written, for a reason within the sidecar and unrelated to the endpoint
 )
 
-// Outcome is the end of one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	RequestID RequestID
-	Attempt   int // numbered from 0 in the order of Host.Send for this request
+	Attempt   int // index in the order of the Host.Send calls for this request, from 0
 	Result    Result
-	Answered  bool // the request has been answered, or its client has gone
+	Answered  bool // the request has been answered, or its client has disconnected
 }
 
-// maxRequestTimeout bounds what a request may say of its time; more makes no
-// difference.
+// maxRequestTimeout caps Request.Timeout. A longer timeout makes no difference.
 const maxRequestTimeout = time.Hour
 
-// class is the settings of a class with what was learned about it.
+// class holds the settings of a class and what was observed of its requests.
 type class struct {
 	Class
 	index       int
 	meanLatency time.Duration // of successful attempts
-	maxTimeout  time.Duration // time left that first tries come with: the highest seen, slowly decreasing
+	maxTimeout  time.Duration // timeout of first tries: the highest Request.Timeout observed, decaying slowly
 }
 
 type attemptState int
@@ -63,39 +62,42 @@
 	attemptNeverRan
 )
 
-// attempt is one send of a request.
+// attempt is one attempt to serve a request.
 type attempt struct {
 	endpoint *endpoint
-	zone     int // of the endpoint when it was sent; the list entry that removes it may lack both
-	cell     int
-	sentAt   time.Duration
-	state    attemptState
+	// Zone and cell of the endpoint when the attempt was sent. The list entry that removes an
+	// endpoint may lack both.
+	zone   int
+	cell   int
+	sentAt time.Duration
+	state  attemptState
 }
 
-// request is a request that has not been answered or has attempts in flight.
+// request is a client request that has not been answered yet or has attempts in flight.
 type request struct {
-	id                RequestID
-	class             *class
-	bulkhead          *bulkhead
-	key               uint64
-	firstTryAt        time.Duration // when the client's first try began, as far as is known
-	deadline          time.Duration // when the client gives up
-	attemptDeadline   time.Duration // the deadline or, where late responses have no value, the latency objective
-	objectiveDeadline time.Duration // a response before this meets the latency objective
+	id         RequestID
+	class      *class
+	bulkhead   *bulkhead
+	key        uint64
+	firstTryAt time.Duration // start of the client's first try, as estimated
+	deadline   time.Duration // when the client gives up
+	// End of all attempts: the deadline or, if late responses have no value to the class, the end of
+	// the latency objective.
+	attemptDeadline   time.Duration
+	objectiveDeadline time.Duration // a response by this time meets the latency objective
 	attempts          []attempt
 	inFlight          int
-	keyQueue          *keyQueue // nil: need not run in order with others
+	keyQueue          *keyQueue // nil: the request need not run in order with others
 
-	awaitedReport  *endpoint // waits for this endpoint's load report
+	awaitedReport  *endpoint // the request waits for this endpoint's load report; nil: it does not wait
 	reportDeadline time.Duration
-	healthChecks   int // made for this request
+	healthChecks   int // health checks made for this request
 
-	streaming bool // the response has begun to reach the client: no other may follow
-	closed    bool // answered, or its client has gone; kept until its attempts have ended
+	streaming bool // the response has started to reach the client; no other answer may follow
+	closed    bool // answered, or the client has disconnected; kept until all attempts have ended
 }
 
-// firstEffective returns the first attempt that may have run or may be
-// running, or nil.
+// firstThatMayHaveRun returns the first attempt that may have run or may still be running, or nil.
 func (r *request) firstEffective() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].state != attemptNeverRan {
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// attempted says whether an attempt of this request went to an endpoint.
+// attempted reports whether an attempt of this request was sent to the endpoint.
 func (r *request) attempted(e *endpoint) bool {
 	for i := range r.attempts {
 		if r.attempts[i].endpoint == e {
@@ -115,45 +117,46 @@
 	return false
 }
 
-// latestStart is when it stops being worth it to start an attempt: its
-// response would come after attemptsEndBy.
+// latestStart returns the time after which an attempt is not worth starting, as its response is
+// expected after attemptDeadline. A response is expected to take twice the mean latency of the
+// class, but at most half of its latency objective.
 func (r *request) latestStart() time.Duration {
 	return r.attemptDeadline - min(2*r.class.meanLatency, r.class.LatencyObjective/2)
 }
 
-// neverRan says that a result proves that the attempt did not run.
+// neverRan reports whether the result proves that the attempt did not run.
 func (r Result) neverRan() bool {
 	return r == Rejected || r == ConnectFailed || r == NotSent
 }
 
-// usable says whether a request names a class and a tenant that there are, and
-// has time left. Where no tenants are set, all requests belong to one.
-func (b *Balancer) validRequest(q *Request) bool {
+// validRequest reports whether a request names an existing class and tenant and has time left. If
+// no tenants are configured, all requests belong to one, and validRequest sets Tenant to 0.
+func (b *Balancer) validRequest(req *Request) bool {
 	if len(b.cfg.Tenants) == 0 {
-		q.Tenant = 0
+		req.Tenant = 0
 	}
-	classKnown := q.Class >= 0 && q.Class < len(b.classes)
-	tenantKnown := q.Tenant >= 0 && q.Tenant < len(b.bulkheads.all)
-	return classKnown && tenantKnown && q.Timeout > 0
+	classKnown := req.Class >= 0 && req.Class < len(b.classes)
+	tenantKnown := req.Tenant >= 0 && req.Tenant < len(b.bulkheads.all)
+	return classKnown && tenantKnown && req.Timeout > 0
 }
 
-// newRequest enters a usable request.
-func (b *Balancer) newRequest(now time.Duration, q Request) *request {
+// newRequest registers a valid request.
+func (b *Balancer) newRequest(now time.Duration, req Request) *request {
 	r := &request{
-		id:         q.ID,
-		class:      &b.classes[q.Class],
-		bulkhead:   &b.bulkheads.all[q.Tenant],
-		key:        q.Key,
+		id:         req.ID,
+		class:      &b.classes[req.Class],
+		bulkhead:   &b.bulkheads.all[req.Tenant],
+		key:        req.Key,
 		firstTryAt: now,
-		deadline:   now + min(q.Timeout, maxRequestTimeout),
+		deadline:   now + min(req.Timeout, maxRequestTimeout),
 	}
 	r.attemptDeadline = r.deadline
 	r.objectiveDeadline = min(r.deadline, now+r.class.LatencyObjective)
-	if q.ClientRetry && q.Key != 0 {
+	if req.ClientRetry && req.Key != 0 {
 		r.firstTryAt = b.clientRetries.firstTryStart(now, r)
 	}
-	b.setAttemptDeadline(now, r, q)
-	if r.class.OrderedByKey && q.Key != 0 {
+	b.setAttemptDeadline(now, r, req)
+	if r.class.OrderedByKey && req.Key != 0 {
 		b.ordering.join(now, r, len(b.requests))
 	}
 	b.requests[r.id] = r
@@ -161,43 +164,46 @@
 	return r
 }
 
-// limitUsefulness ends attempts at the latency objective of the client's first
-// try, for classes whose late responses have no value. A client's retry comes with less time left than a
-// first try, or waits less in all: that tells when the first try began.
-func (b *Balancer) setAttemptDeadline(now time.Duration, r *request, q Request) {
+// setAttemptDeadline ends attempts at the latency objective, counted from the client's first try,
+// if late responses have no value to the class. The start of the first try follows from the
+// timeout: a request with less time left than first tries usually have counts as a client retry,
+// whose first try is taken to have begun Class.Deadline before the request's deadline. Where
+// clients mark their retries, only marked requests count as such.
+func (b *Balancer) setAttemptDeadline(now time.Duration, r *request, req Request) {
 	c := r.class
-	objectiveKnown := c.ObjectivePerWork == 0 || q.ExpectedWork > 0
+	objectiveKnown := c.ObjectivePerWork == 0 || req.ExpectedWork > 0
 	if c.LateValue != 0 || !objectiveKnown {
 		return
 	}
-	c.maxTimeout = max(q.Timeout, c.maxTimeout-(c.maxTimeout-q.Timeout)/maxTimeoutDecay)
-	mayBeRetry := q.ClientRetry || !b.cfg.ClientsMarkRetries
-	if mayBeRetry && q.Timeout < c.maxTimeout-2*activeTimerInterval {
+	c.maxTimeout = max(req.Timeout, c.maxTimeout-(c.maxTimeout-req.Timeout)/maxTimeoutDecay)
+	mayBeRetry := req.ClientRetry || !b.cfg.ClientsMarkRetries
+	if mayBeRetry && req.Timeout < c.maxTimeout-2*activeTimerInterval {
 		r.firstTryAt = min(r.firstTryAt, r.deadline-c.Deadline)
 	}
-	objective := c.LatencyObjective + time.Duration(c.ObjectivePerWork*float64(q.ExpectedWork))
+	objective := c.LatencyObjective + time.Duration(c.ObjectivePerWork*float64(req.ExpectedWork))
 	r.attemptDeadline = min(r.deadline, r.firstTryAt+objective)
 }
 
-// maxTimeoutDecay is how many requests it takes for class.maxTimeout to follow
-// down by a factor of e.
+// maxTimeoutDecay is the number of requests over which class.maxTimeout falls by a factor of e
+// towards lower timeouts.
 const maxTimeoutDecay = 64
 
-// attemptStarted counts an attempt wherever attempts are counted.
+// attemptStarted counts an attempt as in flight for its request, endpoint, bulkhead and balancer.
 func (b *Balancer) attemptStarted(r *request, e *endpoint) { b.addInFlight(r, e, 1) }
 
-// attemptEnded is the inverse of attemptStarted.
+// attemptEnded reverses attemptStarted.
 func (b *Balancer) attemptEnded(r *request, e *endpoint) { b.addInFlight(r, e, -1) }
 
-func (b *Balancer) addInFlight(r *request, e *endpoint, n int) {
-	r.inFlight += n
-	e.inFlight += n
-	r.bulkhead.used += n
-	b.inFlight += n
+func (b *Balancer) addInFlight(r *request, e *endpoint, delta int) {
+	r.inFlight += delta
+	e.inFlight += delta
+	r.bulkhead.used += delta
+	b.inFlight += delta
 }
 
-// giveUp answers a request without a response of an endpoint: rejected where
-// that is true, failed where it may have had an effect that would be repeated.
+// rejectOrFail answers a request without a response from an endpoint. It rejects the request if the
+// client may safely repeat it, and otherwise fails it, as the request may have had an effect that a
+// retry would repeat.
 func (b *Balancer) rejectOrFail(now time.Duration, r *request) {
 	if r.closed {
 		return
@@ -215,15 +221,15 @@
 	b.closeRequest(r)
 }
 
-// retryAfter draws how long a rejected client is asked to wait: one to two
-// times the mean latency, spread so that clients do not return all at once.
+// retryAfter returns how long a rejected client should wait: one to two times the mean latency,
+// chosen at random so that clients do not all return at the same time.
 func (b *Balancer) retryAfter() time.Duration {
-	pause := time.Duration((1 + b.rng.Float64()) * float64(b.meanLatency))
-	return min(b.cfg.MaxRetryAfter, pause)
+	wait := time.Duration((1 + b.rng.Float64()) * float64(b.meanLatency))
+	return min(b.cfg.MaxRetryAfter, wait)
 }
 
-// closeRequest takes a request that has been answered, or whose client has
-// gone, out of its queue and abandons its attempts.
+// closeRequest closes a request that has been answered or whose client has disconnected: it removes
+// the request from its queue and cancels its attempts in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	r.bulkhead.removeQueued(r)
@@ -237,8 +243,8 @@
 	}
 }
 
-// forget drops a closed request with no attempt in flight; the next of its key
-// may go.
+// removeRequest removes a closed request without attempts in flight. The next request of its key
+// may then run.
 func (b *Balancer) removeRequest(r *request) {
 	delete(b.requests, r.id)
 	if r.keyQueue != nil {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// retryBudget counts what a RetryBudget limits.
+// retryBudget enforces a RetryBudget. It keeps the times of recent requests and retries.
 type retryBudget struct {
 	RetryBudget
 	requests slidingWindow
 	retries  slidingWindow
 }
 
-// requestTaken counts a request, and forgets what is older than the interval.
+// recordRequest counts a request, and drops the requests and retries older than the interval.
 func (b *retryBudget) recordRequest(now time.Duration) {
 	b.requests.countSince(now - b.Interval)
 	b.retries.countSince(now - b.Interval)
 	b.requests = append(b.requests, now)
 }
 
-// retried counts an attempt after a request's first.
+// recordRetry counts a retry, that is an attempt after a request's first.
 func (b *retryBudget) recordRetry(now time.Duration) { b.retries = append(b.retries, now) }
 
-// exhausted says that the budget allows no retry now. At the edge it errs
-// towards fewer: a request taken just an interval ago no longer counts, a
-// retry made just then still does.
+// exhausted reports whether the budget allows no retry now. At the boundary it errs on the side of
+// fewer retries: a request exactly one interval ago no longer counts, a retry at that time still
+// does.
 func (b *retryBudget) exhausted(now time.Duration) bool {
 	if b.Interval == 0 {
 		return false
@@ -31,12 +31,13 @@
 	return float64(b.retries.countSince(start)+1) > allowed
 }
 
-// retry sends a request again whose attempts have all failed, or gives it up:
-// at the limit on attempts, where the class forbids it, when a response would
-// be late, and when the retry budget is exhausted. If it cannot be sent at
-// once, it waits at the front of its queue, as it has waited before. It may
-// still end there: where eligible and nextInTurn leave it no endpoint, as it
-// never goes to one twice, serveQueue or expireRequest gives it up.
+// retry sends a request again after all of its attempts have failed. It rejects or fails the
+// request instead if the limit on attempts is reached, the class forbids a retry, a response would
+// be late or the retry budget is exhausted. A retry that cannot be sent at once is queued at the
+// front, as its request has already waited.
+//
+// A request is never sent to the same endpoint twice, so eligible and nextInTurn may leave no
+// endpoint for a queued retry. It is then ended by serveQueue or expireRequest.
 func (b *Balancer) retry(now time.Duration, r *request) {
 	denied := len(r.attempts) >= b.cfg.MaxAttempts ||
 		!r.mayRetry(now) ||
@@ -51,8 +52,8 @@
 	}
 }
 
-// mayRetry says whether the class allows an attempt at some endpoint now.
-// Nothing forbids one while no attempt may have run.
+// mayRetry reports whether the class allows an attempt at some endpoint now. As long as no attempt
+// may have run, it does.
 func (r *request) mayRetry(now time.Duration) bool {
 	first := r.firstEffective()
 	switch {
@@ -64,8 +65,8 @@
 	return now < first.sentAt+r.class.DedupWindow
 }
 
-// mayRetryAt says whether the class allows an attempt at an endpoint now: a
-// request that may have run must be recognised there as a duplicate.
+// mayRetryAt reports whether the class allows an attempt at the endpoint now. If the request may
+// have run, the endpoint must recognize it as a duplicate.
 func (r *request) mayRetryAt(now time.Duration, e *endpoint) bool {
 	if !r.mayRetry(now) {
 		return false
@@ -80,9 +81,9 @@
 	return e.Zone == first.zone && e.Cell == first.cell && e.Cell != UnknownCell
 }
 
-// dedupRemaining returns for how much longer the latest attempt would be
-// recognised as a duplicate of one that may have run; 0: it is not one, or
-// does no harm.
+// dedupRemaining returns how much longer endpoints will recognize the latest attempt as a duplicate
+// of an earlier one that may have run. It returns 0 if there is no such earlier attempt, or if a
+// duplicate is harmless.
 func (r *request) dedupRemaining() time.Duration {
 	first, latest := r.firstEffective(), &r.attempts[len(r.attempts)-1]
 	if first == latest || r.class.Idempotency != IdempotentByKey {
@@ -91,8 +92,8 @@
 	return first.sentAt + r.class.DedupWindow - latest.sentAt
 }
 
-// harmlessToRepeat says that a client may repeat the request: no attempt may
-// have run, or any endpoint drops or tolerates a duplicate.
+// clientMayRetry reports whether the client may safely repeat the request: no attempt may have run,
+// or every endpoint drops or tolerates a duplicate.
 func (r *request) clientMayRetry() bool {
 	switch {
 	case r.firstEffective() == nil || r.class.Idempotency == Idempotent:
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// A request that must not run twice was sent again although the first attempt may have run: the client's order was
-// carried out twice. Retries depend on whether the class allows them and on whether the attempt may have run; a result
-// that is not known counts as one that may.
+// A request that must not run twice was sent again although its first attempt may have run, so the client's
+// order was executed twice. A retry requires that the class allows it or that no attempt may have run. After
+// an unknown result, an attempt may have run.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		class   int
 		result  Result
 		retried bool
-		failed  bool // where it is not retried
+		failed  bool // if it is not retried
 	}{
 		{"idempotent after an error", idempotentClass, ServerError, true, false},
 		{"by key after a lost connection", dedupEverywhereClass, ConnectionLost, true, false},
@@ -32,19 +32,19 @@
 			submit(b, 0, 1, c.class)
 			finish(b, 30*ms, 1, 0, c.result)
 			if retried := len(h.sends) == 2; retried != c.retried {
-				t.Fatalf("retried: %v, want %v", retried, c.retried)
+				t.Fatalf("retried = %v, want %v", retried, c.retried)
 			}
 			if !c.retried && h.failed[1] != c.failed {
-				t.Fatalf("failed: %v, want %v (rejected: %v)", h.failed[1], c.failed, h.rejected)
+				t.Fatalf("failed = %v, want %v (rejected = %v)", h.failed[1], c.failed, h.rejected)
 			}
 			if c.retried && h.sends[1].to == h.sends[0].to {
-				t.Fatal("retried at the same endpoint")
+				t.Fatal("request retried at the same endpoint")
 			}
 		})
 	}
 }
 
-// A request whose attempts all provably never ran may be rejected, so that its client can retry.
+// A request none of whose attempts can have run is rejected, so that its client may retry.
 func TestRejectedAfterMaxAttempts(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
 	submit(b, 0, 1, nonIdempotentClass)
@@ -52,12 +52,12 @@
 		finish(b, time.Duration(i+1)*ms, 1, i, ConnectFailed)
 	}
 	if _, rejected := h.rejected[1]; len(h.sends) != 3 || !rejected {
-		t.Fatalf("%d sends, rejected: %v; want 3 and true", len(h.sends), rejected)
+		t.Fatalf("%d sends, rejected = %v; want 3 and true", len(h.sends), rejected)
 	}
 }
 
-// Endpoints of one zone or cell share the idempotency keys that they have seen. A retry outside of that group runs the
-// request a second time.
+// Endpoints of a zone or cell share the idempotency keys that they have received. A retry outside of that
+// group would run the request a second time.
 func TestRetryStaysInDedupScope(t *testing.T) {
 	list := []Endpoint{
 		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 11},
@@ -68,7 +68,7 @@
 		name  string
 		class int
 	}{{"zone", dedupInZoneClass}, {"cell", dedupInCellClass}} {
-		for earlier := range RequestID(8) { // so many that the first attempt meets every endpoint
+		for earlier := range RequestID(8) { // enough for the first attempt to go to every endpoint
 			t.Run(fmt.Sprintf("%s after %d requests", c.name, earlier), func(t *testing.T) {
 				b, h := start(t, testConfig(), list)
 				for id := range earlier {
@@ -81,21 +81,22 @@
 				finish(b, 30*ms, 1, 0, ConnectionLost)
 				if len(h.sends) < 2 {
 					if c.class == dedupInZoneClass || first.Zone == 1 {
-						t.Fatalf("the attempt at endpoint %d was not retried", first.ID)
+						t.Fatalf("attempt at endpoint %d not retried", first.ID)
 					}
-					return // alone in its cell
+					return // the only endpoint of its cell
 				}
 				second := byID(h.sends[1].to)
 				if second.Zone != first.Zone || (c.class == dedupInCellClass && second.Cell != first.Cell) {
-					t.Fatalf("retried at endpoint %d after %d, outside the scope", second.ID, first.ID)
+					t.Fatalf("retried at endpoint %d after %d, outside the deduplication scope", second.ID, first.ID)
 				}
 			})
 		}
 	}
 }
 
-// An attempt that was rejected has left no idempotency key behind, so its zone must not bind the retry: with all of that
-// zone's endpoints out of service, the request would be lost without need. The first attempt that may have run does.
+// A rejected attempt leaves no idempotency key behind, so the retry need not stay in its zone: with no other
+// endpoint ready there, the request would be lost without need. The first attempt that may have run
+// determines the zone.
 func TestDedupScopeIgnoresAttemptsThatNeverRan(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: Ready, Weight: 1, Zone: 1}}
@@ -107,26 +108,27 @@
 	}
 	b.UpdateEndpoints(ms, DeltaUpdate, []Endpoint{{ID: 3, State: Removed}})
 	h.sends = nil
-	submit(b, 2*ms, 1, dedupInZoneClass) // endpoint 2 is next, in zone 1
+	submit(b, 2*ms, 1, dedupInZoneClass) // endpoint 2, in zone 1, is next
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: the first attempt went to endpoint %d, want 2", h.sends[0].to)
+		t.Fatalf("set-up: first attempt sent to endpoint %d, want 2", h.sends[0].to)
 	}
-	finish(b, 3*ms, 1, 0, Rejected) // it never ran there, so zone 1 does not bind
+	finish(b, 3*ms, 1, 0, Rejected) // the attempt did not run, so the retry need not stay in zone 1
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
-		t.Fatalf("sends %v, want a second attempt at endpoint 1", h.sends)
+		t.Fatalf("sends = %v, want a second attempt at endpoint 1", h.sends)
 	}
-	finish(b, 4*ms, 1, 1, ConnectionLost) // it may have run in zone 0, so endpoint 2 is not eligible any more
+	finish(b, 4*ms, 1, 1, ConnectionLost) // the attempt may have run in zone 0, so endpoint 2 is not eligible
 	if len(h.sends) != 2 {
-		t.Fatalf("sends %v, want none outside the scope", h.sends)
+		t.Fatalf("sends = %v, want none outside the deduplication scope", h.sends)
 	}
 }
 
-// Endpoints forget idempotency keys after a while. A retry later than that runs the request a second time.
+// Endpoints drop an idempotency key after the deduplication window. A later retry would run the request a
+// second time.
 func TestNoRetryAfterDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		class    int
-		rejected bool // else failed
+		rejected bool // if false, it is failed
 	}{
 		{"all endpoints drop duplicates", dedupEverywhereClass, true},
 		{"those of one zone do", dedupInZoneClass, false}, // the client's retry may go to another zone
@@ -134,19 +136,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
 			submit(b, 0, 1, c.class)
-			finish(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since its send is over
+			finish(b, 700*ms, 1, 0, ServerError) // the window of 700 ms since the send is over
 			if len(h.sends) != 1 {
 				t.Errorf("%d sends, want 1", len(h.sends))
 			}
 			if _, rejected := h.rejected[1]; rejected != c.rejected || h.failed[1] == c.rejected {
-				t.Errorf("rejected %v, failed %v; want rejected %v, else failed", rejected, h.failed[1], c.rejected)
+				t.Errorf("rejected = %v, failed = %v; want rejected = %v and otherwise failed", rejected, h.failed[1], c.rejected)
 			}
 		})
 	}
 }
 
-// The connection for a retry came up so late that endpoints no longer recognised the duplicate when the request was
-// written. The host has to know by when it must be written; other attempts have no such limit.
+// The connection for a retry was established so late that endpoints no longer recognized the duplicate when
+// the request was written. The host must know until when the retry may be written. Other attempts have no
+// such limit.
 func TestRetryHasWriteTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -167,14 +170,14 @@
 			submit(b, 0, 1, c.class)
 			finish(b, 300*ms, 1, 0, c.result)
 			if len(h.sends) != 2 || h.sends[0].writeTimeout != 0 || h.sends[1].writeTimeout != c.want {
-				t.Errorf("sends %+v, want two, the second with a write timeout of %v", h.sends, c.want)
+				t.Errorf("sends = %+v, want 2, the second with a write timeout of %v", h.sends, c.want)
 			}
 		})
 	}
 }
 
-// The list entry that removes an endpoint may lack its zone and cell. The retry of what may have run there went to an
-// endpoint in zone 0 then, which did not recognise the duplicate.
+// The list entry that removes an endpoint may lack its zone and cell. The retry of an attempt that may have
+// run there was then sent to an endpoint in zone 0, which did not recognize the duplicate.
 func TestRetryStaysInDedupScopeOfRemovedEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -185,19 +188,19 @@
 			b, h := start(t, testConfig(), list)
 			submit(b, 0, 1, c.class)
 			list[0].Zone, list[0].Cell, list[0].State = 0, 0, Removed
-			other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone and cell 0
+			other := Endpoint{ID: 2, State: Ready, Weight: 1} // in zone 0 and cell 0
 			b.UpdateEndpoints(ms, DeltaUpdate, append(list, other))
 			finish(b, 2*ms, 1, 0, ConnectionLost)
 			b.TimerFired(100 * ms)
 			if len(h.sends) != 1 || h.sends[0].to != 1 {
-				t.Errorf("sends %+v, want the first attempt alone", h.sends)
+				t.Errorf("sends = %+v, want only the first attempt", h.sends)
 			}
 		})
 	}
 }
 
-// Retries multiply the load just when endpoints fail. Those of any interval stay within the budget of the requests that
-// were taken in it.
+// Retries multiply the load while endpoints fail. The retries of any interval have to stay within the budget
+// given by the requests received in it.
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryBudget = RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5}
@@ -214,21 +217,21 @@
 	}
 	first, second, third := attempts(0, 1, idempotentClass), attempts(0, 2, nonIdempotentClass), attempts(0, 3, nonIdempotentClass)
 	if first != 2 || second != 2 || third != 1 {
-		t.Fatalf("sends %+v: want one retry of the minimum and one for two requests", h.sends)
+		t.Fatalf("sends = %+v, want one retry by MinRetries and one by RetryRatio for two requests", h.sends)
 	}
 	if _, rejected := h.rejected[3]; !rejected {
-		t.Fatal("a request that never ran was not rejected when the budget was exhausted")
+		t.Fatal("request whose attempt did not run was not rejected when the budget was exhausted")
 	}
-	// A second later the requests no longer count, but the retries made just then still do.
+	// One interval later the requests no longer count, but the retries of that time still do.
 	if n := attempts(time.Second, 4, idempotentClass); n != 1 {
-		t.Fatalf("%d sends at the end of the interval, want 1", n)
+		t.Fatalf("%d sends exactly one interval later, want 1", n)
 	}
 	if n := attempts(time.Second+1, 5, idempotentClass); n != 2 {
-		t.Fatalf("%d sends once the interval is over, want 2", n)
+		t.Fatalf("%d sends after the interval, want 2", n)
 	}
 }
 
-// A budget of no retries differs from no budget, which sets no limit.
+// A budget without retries forbids them, unlike the absence of a budget, which sets no limit.
 func TestRetryBudgetZeroAndAbsent(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -280,7 +283,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := retryBudget{RetryBudget: c.budget, requests: c.requests, retries: c.retries}
 			if got := b.exhausted(now); got != c.want {
-				t.Errorf("exhausted: %v, want %v", got, c.want)
+				t.Errorf("exhausted = %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -294,14 +297,14 @@
 	if len(b.requests) != 1 || len(b.retries) != 2 {
 		t.Fatalf("%d requests and %d retries, want 1 and 2", len(b.requests), len(b.retries))
 	}
-	b.recordRequest(1100 * ms) // those at 0 are older than the interval
+	b.recordRequest(1100 * ms) // the events at 0 are older than the interval
 	if len(b.requests) != 1 || len(b.retries) != 1 {
 		t.Fatalf("%d requests and %d retries within the interval, want 1 and 1", len(b.requests), len(b.retries))
 	}
 }
 
-// Two endpoints without a known zone, or cell, counted as of one: a retry went to an endpoint that had not seen the
-// idempotency key, and the request ran a second time.
+// Two endpoints with an unknown zone or cell were treated as sharing it. A retry went to an endpoint that had
+// not received the idempotency key, and the request ran a second time.
 func TestNoRetryInUnknownDedupScope(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -325,7 +328,7 @@
 			submit(b, 0, 1, c.class)
 			finish(b, 30*ms, 1, 0, ConnectionLost)
 			if retried := len(h.sends) == 2; retried != c.retried {
-				t.Errorf("retried: %v, want %v", retried, c.retried)
+				t.Errorf("retried = %v, want %v", retried, c.retried)
 			}
 		})
 	}
--- a/policy/traffic_test.go
+++ b/policy/traffic_test.go
@@ -25,7 +25,7 @@
 				r.observe(at)
 			}
 			if got := r.current(c.now); math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("%v requests per second, want %v", got, c.want)
+				t.Errorf("rate = %v requests per second, want %v", got, c.want)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := slidingWindow{1, 2, 2, 5}
 			if n := w.countSince(c.from); n != len(c.want) || !slices.Equal(w, c.want) {
-				t.Errorf("%d events, %v remain; want %d, %v", n, w, len(c.want), c.want)
+				t.Errorf("countSince = %d, events left = %v; want %d, %v", n, w, len(c.want), c.want)
 			}
 		})
 	}
@@ -53,6 +53,6 @@
 
 func TestMeanObjectiveTimes(t *testing.T) {
 	if got := meanObjective(0.5).times(3); got != 1500*ms {
-		t.Errorf("three times half a second is %v", got)
+		t.Errorf("times(3) of 0.5 s = %v, want 1.5 s", got)
 	}
 }
