--- a/policy/admission.go
+++ b/policy/admission.go
@@ -71,6 +71,7 @@
 	return capacity / (samePriority + 1) // 1: the request to be admitted
 }
 
+// decay reduces the counts by the time that has passed since the last call.
 func (a *admission) decay(now time.Duration) {
 	factor := math.Exp(-(now - a.decayedAt).Seconds() / (admissionHorizon * float64(a.objective)))
 	a.decayedAt = now
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -79,9 +79,8 @@
 	}
 }
 
-// After a fault, a class stayed shed permanently: the recent goodput covered the high priority only, clients
-// of the other class retried at once, and their retries counted as offered, which kept the class above its
-// capacity.
+// After a fault, one class was shed permanently: the recent goodput covered the high priority only, clients of
+// the other class retried at once, and as these retries counted as offered, the class was not admitted again.
 func TestAdmissionRecoversAfterFailures(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots, cfg.MaxAttempts = 1, 100, 1
@@ -147,7 +146,7 @@
 		{"nothing recent", []classDemand{{priority: 1}, {priority: 4}}, 0, 1.5},
 		{"all answered in time", []classDemand{{1, 20, 20}, {4, 0, 0}}, 0, 31.5 / 21},
 		{"higher priority", []classDemand{{1, 20, 8}, {4, 8, 8}}, 1, 25.5 / 9},
-		{"lower priority has what the higher leaves", []classDemand{{1, 20, 8}, {4, 8, 8}}, 0, 17.5 / 21},
+		{"lower priority gets the remainder", []classDemand{{1, 20, 8}, {4, 8, 8}}, 0, 17.5 / 21},
 		{"equal priorities", []classDemand{{4, 20, 8}, {4, 8, 8}}, 0, 25.5 / 29},
 		{"nothing remains", []classDemand{{1, 20, 0}, {4, 8, 2}}, 0, -3.5 / 21},
 	} {
@@ -170,9 +169,9 @@
 		want      float64
 	}{
 		{"most of the objective remains", 700 * ms, 1},
-		{"half of it", 400 * ms, 1},
-		{"a quarter of it", 200 * ms, 0.5},
-		{"nothing", 0, 0},
+		{"half of the objective remains", 400 * ms, 1},
+		{"a quarter of the objective remains", 200 * ms, 0.5},
+		{"nothing of the objective remains", 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := admissionWith(classDemand{}, classDemand{})
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -42,7 +42,8 @@
 	submit(b, 0, 1, idempotentClass)
 	b.ClientDisconnected(ms, 1)
 	if len(h.cancelled) != 1 || b.FreeSlots(0) != 5 {
-		t.Fatalf("%d attempts cancelled, %d free slots while it is in flight; want 1 and 5", len(h.cancelled), b.FreeSlots(0))
+		t.Fatalf("%d attempts cancelled, %d free slots while the attempt is in flight; want 1 and 5",
+			len(h.cancelled), b.FreeSlots(0))
 	}
 	finish(b, 2*ms, 1, 0, Cancelled)
 	if len(h.rejected)+len(h.failed) != 0 || len(b.requests) != 0 || b.FreeSlots(0) != 6 {
--- a/policy/config.go
+++ b/policy/config.go
@@ -11,9 +11,13 @@
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated or rejected at any time
-	IdempotentByKey                    // endpoints drop duplicates by idempotency key: see DedupScope
-	NonIdempotent                      // must not run twice
+	// Idempotent requests may be repeated or rejected at any time.
+	Idempotent Idempotency = iota
+	// IdempotentByKey requests carry an idempotency key, by which endpoints drop duplicates within
+	// DedupScope and DedupWindow.
+	IdempotentByKey
+	// NonIdempotent requests must not run twice.
+	NonIdempotent
 )
 
 // DedupScope is the group of endpoints that drop duplicates of a request with an idempotency key.
@@ -72,7 +76,7 @@
 
 	RetryBudget      RetryBudget   // zero value: no limit
 	OrderingDelay    time.Duration // blocks a key this long after an attempt that may still be running
-	IdleCloseTimeout time.Duration // time to close idle connections to a draining endpoint; 0: not closed
+	IdleCloseTimeout time.Duration // limit for closing idle connections to a draining endpoint; 0: not closed
 
 	EventInterval time.Duration // minimum time between events
 
@@ -81,7 +85,8 @@
 
 	SlowStartFraction float64       // fraction of its capacity that an endpoint has when it starts
 	SlowStartDuration time.Duration // time from its start until an endpoint has its full capacity
-	OverloadFactor    float64       // an endpoint in slow start fails above this multiple of its capacity
+	// An endpoint in slow start fails if its load exceeds this multiple of its capacity at that time.
+	OverloadFactor float64
 
 	ReportFields ReportFields // fields in the load reports of endpoints
 
--- a/policy/host.go
+++ b/policy/host.go
@@ -90,9 +90,9 @@
 	DivertedSends      uint64 // attempts diverted as an endpoint was at its limit or ejected
 	ConcurrencyLimited uint64 // dispatches refused by the concurrency limit although a slot was free
 	Shed               uint64 // requests rejected by admission
-	CrossZoneSends     uint64 // attempts sent to another zone while that has a cost
+	CrossZoneSends     uint64 // attempts sent to another zone, if CrossZoneCost is above 0
 	Retries            uint64 // attempts after a request's first
-	LateRejected       uint64 // requests rejected on arrival as they would be late; mostly client retries
+	LateRejected       uint64 // rejected on arrival as the response would be late; mostly client retries
 	Queued             uint64 // requests that had to wait for a slot or an endpoint
 	GossipSent         uint64 // gossip messages broadcast
 	GossipReceived     uint64 // gossip messages accepted
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -115,7 +115,7 @@
 		{"first", false, 0, 0, true},
 		{"behind another", true, 0, 0, false},
 		{"blocked", false, 0, now + 1, false},
-		{"not blocked any more", false, 0, now, true},
+		{"no longer blocked", false, 0, now, true},
 		{"own retry while blocked", false, 1, now + 1, true},
 		{"own retry behind another", true, 1, 0, false},
 	} {
--- a/policy/request.go
+++ b/policy/request.go
@@ -54,6 +54,7 @@
 	maxTimeout  time.Duration // timeout of first tries: the highest Request.Timeout observed, decaying slowly
 }
 
+// attemptState is whether an attempt is in flight and, if not, whether it may have run.
 type attemptState int
 
 const (
@@ -194,6 +195,7 @@
 // attemptEnded reverses attemptStarted.
 func (b *Balancer) attemptEnded(r *request, e *endpoint) { b.addInFlight(r, e, -1) }
 
+// addInFlight adds delta to all counts of attempts in flight that an attempt belongs to.
 func (b *Balancer) addInFlight(r *request, e *endpoint, delta int) {
 	r.inFlight += delta
 	e.inFlight += delta
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -88,7 +88,7 @@
 		meanLatency time.Duration // with an objective of 1 s
 		want        time.Duration // latest start before the attempt deadline
 	}{
-		{"twice the usual latency", 125 * ms, 250 * ms},
+		{"twice the mean latency", 125 * ms, 250 * ms},
 		{"at most half of the objective", 400 * ms, 500 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -131,7 +131,7 @@
 		rejected bool // if false, it is failed
 	}{
 		{"all endpoints drop duplicates", dedupEverywhereClass, true},
-		{"those of one zone do", dedupInZoneClass, false}, // the client's retry may go to another zone
+		{"endpoints of one zone drop duplicates", dedupInZoneClass, false}, // the client's retry may go to another zone
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, h := start(t, testConfig(), ready(1, 2, 3))
@@ -271,11 +271,11 @@
 		{"ratio needs another request", RetryBudget{Interval: time.Second, RetryRatio: 0.5}, slidingWindow{now}, nil, true},
 		{"minimum and ratio", RetryBudget{Interval: time.Second, MinRetries: 1, RetryRatio: 0.5},
 			slidingWindow{now, now}, slidingWindow{now}, false},
-		{"request just an interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1},
+		{"request exactly one interval ago", RetryBudget{Interval: time.Second, RetryRatio: 1},
 			slidingWindow{now - time.Second}, nil, true},
 		{"request within the interval", RetryBudget{Interval: time.Second, RetryRatio: 1},
 			slidingWindow{now - time.Second + 1}, nil, false},
-		{"retry just an interval ago", RetryBudget{Interval: time.Second, MinRetries: 1},
+		{"retry exactly one interval ago", RetryBudget{Interval: time.Second, MinRetries: 1},
 			nil, slidingWindow{now - time.Second}, true},
 		{"retry before the interval", RetryBudget{Interval: time.Second, MinRetries: 1},
 			nil, slidingWindow{now - time.Second - 1}, false},
