--- a/internal/sidecar/clientmonitor_test.go
+++ b/internal/sidecar/clientmonitor_test.go
@@ -32,8 +32,8 @@
 			if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != http.StatusOK {
 				t.Fatalf("request of the connected client: response %+v, error %v, want 200", res, err)
 			}
-			if r := wait(t, "a request", s.seen); r.Header.Get("X-Request-ID") != "stays" || len(s.seen) > 0 {
-				t.Errorf("server received request %s and %d more, want only \"stays\"", r.Header.Get("X-Request-ID"), len(s.seen))
+			if r := wait(t, "a request", s.receivedRequests); r.Header.Get("X-Request-ID") != "stays" || len(s.receivedRequests) > 0 {
+				t.Errorf("server received request %s and %d more, want only \"stays\"", r.Header.Get("X-Request-ID"), len(s.receivedRequests))
 			}
 		})
 	}
@@ -44,13 +44,13 @@
 func TestClientDisconnectsBetweenAttempts(t *testing.T) {
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
-			rejecting := newStub(t, rejectUnprocessed)
+			rejecting := newStub(t, respondNotProcessed)
 			s := newStub(t, echo)
 			l := newTestLoop(t, rejecting.address)
 			_, address := serveClients(t, l)
 			c := sendOnNewConn(t, address, rawRequest("gone"))
 			l.runNextEvent(t) // the request is sent
-			wait(t, "the first attempt", rejecting.seen)
+			wait(t, "the first attempt", rejecting.receivedRequests)
 			l.runNextEvent(t) // the server rejects it; it waits for another server
 			if len(l.requests) != 1 {
 				t.Fatalf("%d requests in the table, want 1", len(l.requests))
@@ -58,8 +58,8 @@
 			disconnect(t, c)
 			l.runNextEvent(t)
 			l.updateEndpoints(t, "ready", rejecting.address, s.address)
-			if len(l.requests) != 0 || len(s.seen)+len(rejecting.seen) > 0 {
-				t.Errorf("%d requests in the table, %d sent after the client disconnected, want none", len(l.requests), len(s.seen)+len(rejecting.seen))
+			if len(l.requests) != 0 || len(s.receivedRequests)+len(rejecting.receivedRequests) > 0 {
+				t.Errorf("%d requests in the table, %d sent after the client disconnected, want none", len(l.requests), len(s.receivedRequests)+len(rejecting.receivedRequests))
 			}
 		})
 	}
@@ -71,21 +71,21 @@
 	for name, disconnect := range disconnects {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
-			cfg := testConfig(t, listed(1, "ready", s.address), func(_, settings map[string]any) {
+			cfg := testConfig(t, fullListResponse(1, "ready", s.address), func(_, settings map[string]any) {
 				settings["caps"].(map[string]any)["may_cancel"] = false
 			})
-			l := newTestLoopFor(t, cfg)
+			l := newTestLoopWithConfig(t, cfg)
 			gate := gateDials(l.transport)
 			_, address := serveClients(t, l)
 			c := sendOnNewConn(t, address, rawRequest("gone"))
 			l.runNextEvent(t)
-			wait(t, "the dial", gate.started)
+			wait(t, "the dial", gate.dials)
 			disconnect(t, c)
 			l.runNextEvent(t) // the client's disconnect
-			gate.admit <- true
+			gate.proceed <- true
 			l.runNextEvent(t) // the end of the attempt
-			if len(l.requests) != 0 || len(s.seen) > 0 {
-				t.Errorf("%d requests in the table, %d sent after the client disconnected, want none", len(l.requests), len(s.seen))
+			if len(l.requests) != 0 || len(s.receivedRequests) > 0 {
+				t.Errorf("%d requests in the table, %d sent after the client disconnected, want none", len(l.requests), len(s.receivedRequests))
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 
 func newDelayedDisconnect(t *testing.T) *delayedDisconnect {
 	t.Helper()
-	n := &delayedDisconnect{server: newStub(t, echo), rejecting: newStub(t, rejectUnprocessed)}
+	n := &delayedDisconnect{server: newStub(t, echo), rejecting: newStub(t, respondNotProcessed)}
 	n.loop = newTestLoop(t, n.server.address)
 	n.gate = gateDials(n.loop.transport)
 	_, n.address = serveClients(t, n.loop)
@@ -122,7 +122,7 @@
 // transport send the request.
 var delayedDisconnectStages = map[string]func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) (disconnectEvent func(now time.Duration)){
 	"submitted": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.admit <- true
+		n.gate.proceed <- true
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		submit := n.loop.takeEvent(t, "the request")
 		disconnectEvent := n.disconnect(t, c, disconnectClient)
@@ -130,7 +130,7 @@
 		return disconnectEvent
 	},
 	"queued": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.admit <- true
+		n.gate.proceed <- true
 		n.loop.updateEndpoints(t, "draining", n.server.address)
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		n.loop.runNextEvent(t)
@@ -139,14 +139,14 @@
 		return disconnectEvent
 	},
 	"between attempts": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.admit <- true
+		n.gate.proceed <- true
 		n.loop.updateEndpoints(t, "ready", n.rejecting.address)
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		n.loop.runNextEvent(t)
-		wait(t, "the first attempt", n.rejecting.seen)
-		wait(t, "the first dial", n.gate.started)
+		wait(t, "the first attempt", n.rejecting.receivedRequests)
+		wait(t, "the first dial", n.gate.dials)
 		n.loop.runNextEvent(t) // the server rejects it; it waits for another server
-		n.gate.admit <- true
+		n.gate.proceed <- true
 		disconnectEvent := n.disconnect(t, c, disconnectClient)
 		n.loop.updateEndpoints(t, "ready", n.rejecting.address, n.server.address)
 		return disconnectEvent
@@ -154,9 +154,9 @@
 	"dialing": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
 		c := sendOnNewConn(t, n.address, rawRequest("gone"))
 		n.loop.runNextEvent(t)
-		wait(t, "the dial", n.gate.started)
+		wait(t, "the dial", n.gate.dials)
 		disconnectEvent := n.disconnect(t, c, disconnectClient)
-		n.gate.admit <- true
+		n.gate.proceed <- true
 		return disconnectEvent
 	},
 }
@@ -176,9 +176,9 @@
 				}
 				disconnectEvent(n.loop.clock.now())
 				n.loop.reportDeniedSends()
-				sent := len(n.server.seen) + len(n.rejecting.seen)
-				if sent > 0 || stage != "dialing" && len(n.gate.started) > 0 {
-					t.Errorf("%d requests sent and %d dials for a disconnected client, want none", sent, len(n.gate.started))
+				sent := len(n.server.receivedRequests) + len(n.rejecting.receivedRequests)
+				if sent > 0 || stage != "dialing" && len(n.gate.dials) > 0 {
+					t.Errorf("%d requests sent and %d dials for a disconnected client, want none", sent, len(n.gate.dials))
 				}
 			})
 		}
@@ -197,7 +197,7 @@
 	for i := range clients {
 		conns = append(conns, sendOnNewConn(t, address, rawRequest(fmt.Sprintf("gone%d", i))))
 		l.runNextEvent(t)
-		wait(t, "the dial", gate.started)
+		wait(t, "the dial", gate.dials)
 	}
 	var disconnectEvents []func(now time.Duration)
 	for _, c := range conns {
@@ -205,7 +205,7 @@
 		disconnectEvents = append(disconnectEvents, l.takeEvent(t, "the client's disconnect"))
 	}
 	for range clients {
-		gate.admit <- true
+		gate.proceed <- true
 	}
 	for range clients {
 		l.runNextEvent(t)
@@ -213,8 +213,8 @@
 	for _, event := range disconnectEvents {
 		event(l.clock.now())
 	}
-	if len(l.requests) != 0 || len(s.seen) > 0 {
-		t.Errorf("%d requests in the table, %d sent after their clients disconnected, want none", len(l.requests), len(s.seen))
+	if len(l.requests) != 0 || len(s.receivedRequests) > 0 {
+		t.Errorf("%d requests in the table, %d sent after their clients disconnected, want none", len(l.requests), len(s.receivedRequests))
 	}
 }
 
@@ -226,17 +226,17 @@
 		pieceBytes = 97 // pieces end at various places in a request
 	)
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		<-release
 		return echo(c, r)
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := sendOnNewConn(t, strings.TrimPrefix(side.url, "http://"), rawRequest("r0"))
 	var pipelinedText strings.Builder
 	for i := range pipelined {
 		pipelinedText.WriteString(rawRequest(fmt.Sprintf("r%d", i+1)))
 	}
-	wait(t, "the first request", s.seen)
+	wait(t, "the first request", s.receivedRequests)
 	for text := pipelinedText.String(); len(text) > 0; {
 		n := min(len(text), pieceBytes)
 		write(t, c, text[:n])
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -15,7 +15,7 @@
 // handler and address.
 func serveClients(t *testing.T, l *eventLoop) (handler *ingress, address string) {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready"), nil)
+	cfg := testConfig(t, fullListResponse(1, "ready"), nil)
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetReadDeadline(time.Now().Add(generous)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	write(t, c, text)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -15,11 +15,11 @@
 }
 
 // fromTime converts a time.Time to a time on this clock.
-func (c clock) of(t time.Time) time.Duration {
+func (c clock) fromTime(t time.Time) time.Duration {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
 
 // toTime converts a time on this clock to a time.Time, for instance for a connection's deadline.
-func (c clock) at(d time.Duration) time.Time {
+func (c clock) toTime(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -18,7 +18,7 @@
 		}
 		last = now
 	}
-	if got := c.at(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
+	if got := c.toTime(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
 		t.Errorf("time %v converts to %v after the clock's start, want now() minus the start", last, got)
 	}
 }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestConfig(t *testing.T) {
-	c := testConfig(t, listed(41, "ready", "127.0.0.1:80"), nil)
+	c := testConfig(t, fullListResponse(41, "ready", "127.0.0.1:80"), nil)
 	if c.Seed != 0x8c1f30d27a5be964 || c.ServerIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.CachedEndpoints.Version != 41 ||
 		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxInFlight != 100 {
 		t.Errorf("config = %+v, want the values of testConfig", c)
@@ -100,7 +100,7 @@
 // has.
 func TestEnvironmentFillsMissingFields(t *testing.T) {
 	environment := map[string]string{"EDGE_NAME": "n7", "EDGE_LISTEN": "127.0.0.1:7", "EDGE_DISCOVERY": "127.0.0.1:8"}
-	text := testConfigText(t, listed(1, "ready"), func(file, _ map[string]any) {
+	text := testConfigText(t, fullListResponse(1, "ready"), func(file, _ map[string]any) {
 		delete(file, "name")
 		delete(file, "listen")
 	})
--- a/internal/sidecar/counters_test.go
+++ b/internal/sidecar/counters_test.go
@@ -11,9 +11,9 @@
 // up by key, and would read a missing counter as 0.
 func TestCountersAreLoggedByName(t *testing.T) {
 	var line bytes.Buffer
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
+	cfg := testConfig(t, fullListResponse(1, "ready", "127.0.0.1:1"), nil)
 	logger := slog.New(slog.NewTextHandler(&line, nil))
-	logger.LogAttrs(t.Context(), slog.LevelInfo, "counters", newTestLoopFor(t, cfg).counters()...)
+	logger.LogAttrs(t.Context(), slog.LevelInfo, "counters", newTestLoopWithConfig(t, cfg).counters()...)
 	for _, key := range []string{
 		"policy.round_robin_sends=", "policy.diverted_sends=", "policy.concurrency_limited=", "policy.shed=",
 		"policy.cross_zone_sends=", "policy.retries=", "policy.late_rejected=", "policy.queued=", "policy.gossip_sent=",
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -122,7 +122,7 @@
 }
 
 // requestPoll requests a poll of the endpoint list. It never blocks, and may be called from any goroutine.
-func (d *discoveryClient) poll() {
+func (d *discoveryClient) requestPoll() {
 	select {
 	case d.pollRequests <- struct{}{}:
 	default: // a request is already pending, or the list is pushed
@@ -142,7 +142,7 @@
 		followCtx, address, addressChanged = d.startFollowing(ctx)
 		if addressChanged {
 			d.version = unknownVersion
-			d.closeIdle()
+			d.closeIdleConn()
 			pause.reset()
 		}
 		received, err := d.follow(followCtx, address)
--- a/internal/sidecar/discovery_call.go
+++ b/internal/sidecar/discovery_call.go
@@ -109,7 +109,7 @@
 }
 
 // closeIdleConn closes the idle connection, if there is one.
-func (d *discoveryClient) closeIdle() {
+func (d *discoveryClient) closeIdleConn() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.idleConn != nil {
--- a/internal/sidecar/discovery_reload_test.go
+++ b/internal/sidecar/discovery_reload_test.go
@@ -67,10 +67,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				discovery := &relocatedDiscovery{oldAddress: initialAddress, calls: make(chan discoveryCall, 100)}
-				c := newTestDiscoveryClient(t, initialAddress, listed(41, "ready", "127.0.0.1:80"), edit)
+				c := newTestDiscoveryClient(t, initialAddress, fullListResponse(41, "ready", "127.0.0.1:80"), edit)
 				c.dial = discovery.dial
-				t.Cleanup(c.closeIdle)
-				c.poll()
+				t.Cleanup(c.closeIdleConn)
+				c.requestPoll()
 				c.runUntilTestEnds(t)
 				if call := wait(t, "the call at the old address", discovery.calls); call.address != initialAddress || call.query != "index=41&wait=1" {
 					t.Fatalf("first call: address, query = %s, %q, want the old address and the changes since version 41", call.address, call.query)
@@ -80,7 +80,7 @@
 
 				reloadedAt := time.Now()
 				c.reload(configFileWithDiscovery(t, newAddress))
-				c.poll()
+				c.requestPoll()
 				call := wait(t, "the call at the new address", discovery.calls)
 				if call.address != newAddress || call.query != "" {
 					t.Errorf("call after the reload: address, query = %s, %q, want %s and no query (full list)", call.address, call.query, newAddress)
@@ -96,7 +96,7 @@
 // configFileWithDiscovery writes a configuration file with an address of discovery and returns its path.
 func configFileWithDiscovery(t *testing.T, address string) (path string) {
 	t.Helper()
-	text := testConfigText(t, listed(1, "ready"), func(file, _ map[string]any) { file["discovery"] = address })
+	text := testConfigText(t, fullListResponse(1, "ready"), func(file, _ map[string]any) { file["discovery"] = address })
 	path = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -139,10 +139,10 @@
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					discovery := &relocatedDiscovery{oldAddress: first, calls: make(chan discoveryCall, 100)}
-					client := newTestDiscoveryClient(t, first, listed(41, "ready", "127.0.0.1:80"), edit)
+					client := newTestDiscoveryClient(t, first, fullListResponse(41, "ready", "127.0.0.1:80"), edit)
 					client.dial = discovery.dial
-					t.Cleanup(client.closeIdle)
-					client.poll() // the Balancer's first poll, requested at its start
+					t.Cleanup(client.closeIdleConn)
+					client.requestPoll() // the Balancer's first poll, requested at its start
 					if !test.beforeStart {
 						client.runUntilTestEnds(t)
 						wait(t, "the call at the old address", discovery.calls)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -40,7 +40,7 @@
 	c.discoveryClient = newDiscoveryClient(cfg,
 		func(update endpointlist.List) { c.updates <- update },
 		func() { c.failures <- struct{}{} })
-	c.randomWatchTime = func() time.Duration { return generous }
+	c.randomWatchTime = func() time.Duration { return testTimeout }
 	return c
 }
 
@@ -126,12 +126,12 @@
 // The client requests the full list, then the changes since its version. After an invalid response, and after
 // a call that fails before any list is known, it must request the full list again.
 func TestDiscoveryClientFollowsList(t *testing.T) {
-	runDiscoverySteps(t, listed(0, "ready"), []discoveryStep{
-		{query: "", response: listed(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
+	runDiscoverySteps(t, fullListResponse(0, "ready"), []discoveryStep{
+		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
 		{query: "index=41&wait=20000", response: deltaResponse(43), version: 43},
 		{query: "index=43&wait=20000", response: `{"generation":44,"instances":[{"instanceId":""}]}`},
 		{query: "", response: ""},
-		{query: "", response: listed(45, "ready", "127.0.0.1:80"), version: 45, complete: true},
+		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:80"), version: 45, complete: true},
 	})
 }
 
@@ -139,11 +139,11 @@
 // removed, and nothing was logged. Such a response is a failure: the known servers stay, and the next call
 // requests the full list.
 func TestResponseWithoutListIsAFailure(t *testing.T) {
-	runDiscoverySteps(t, listed(0, "ready"), []discoveryStep{
-		{query: "", response: listed(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
+	runDiscoverySteps(t, fullListResponse(0, "ready"), []discoveryStep{
+		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
 		{query: "index=41&wait=20000", response: `{"generation":42,"reset":true}`},
 		{query: "", response: `{"generation":42,"reset":true,"instances":null}`},
-		{query: "", response: listed(43, "ready", "127.0.0.1:80"), version: 43, complete: true},
+		{query: "", response: fullListResponse(43, "ready", "127.0.0.1:80"), version: 43, complete: true},
 		{query: "index=43&wait=20000", response: `{"generation":44,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:80"}]}`},
 		{query: "", response: `{"generation":45,"reset":true,"instances":[]}`, version: 45, complete: true},
 	})
@@ -153,15 +153,15 @@
 // list. Each sidecar must request the changes since its cached list, even after discovery has rejected a
 // call. After an invalid response, or a delta update with a lower version, it must request the full list.
 func TestFirstCallAsksForChangesSinceCachedList(t *testing.T) {
-	runDiscoverySteps(t, listed(41, "ready", "127.0.0.1:80"), []discoveryStep{
+	runDiscoverySteps(t, fullListResponse(41, "ready", "127.0.0.1:80"), []discoveryStep{
 		{query: "index=41&wait=1", response: ""},
 		{query: "index=41&wait=1", response: deltaResponse(43), version: 43},
-		{query: "index=43&wait=20000", response: listed(44, "ready", "127.0.0.1:81"), version: 44, complete: true},
+		{query: "index=43&wait=20000", response: fullListResponse(44, "ready", "127.0.0.1:81"), version: 44, complete: true},
 		{query: "index=44&wait=20000", response: "noise"},
-		{query: "", response: listed(45, "ready", "127.0.0.1:82"), version: 45, complete: true},
+		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:82"), version: 45, complete: true},
 		{query: "index=45&wait=20000", response: ""},
 		{query: "index=45&wait=1", response: deltaResponse(3)},
-		{query: "", response: listed(3, "ready", "127.0.0.1:82"), version: 3, complete: true},
+		{query: "", response: fullListResponse(3, "ready", "127.0.0.1:82"), version: 3, complete: true},
 	})
 }
 
@@ -174,20 +174,20 @@
 		queries <- r.URL.RawQuery
 		switch r.URL.RawQuery {
 		case "":
-			_, _ = io.WriteString(w, listed(41, "ready", "127.0.0.1:80"))
+			_, _ = io.WriteString(w, fullListResponse(41, "ready", "127.0.0.1:80"))
 		case "index=41&wait=1":
-			_, _ = io.WriteString(w, listed(42, "draining", "127.0.0.1:80"))
+			_, _ = io.WriteString(w, fullListResponse(42, "draining", "127.0.0.1:80"))
 		default: // a watch: no response until the client closes the connection
 			<-r.Context().Done()
 		}
 	})
-	c := newTestDiscoveryClient(t, address, listed(0, "ready"), usePolling)
+	c := newTestDiscoveryClient(t, address, fullListResponse(0, "ready"), usePolling)
 	c.onFailure = func() { t.Error("onFailure called after a watch timeout") }
 	watchTimes := make(chan time.Duration, 2)
 	watchTimes <- 5 * time.Millisecond
-	watchTimes <- generous
+	watchTimes <- testTimeout
 	c.randomWatchTime, c.watchGrace = func() time.Duration { return <-watchTimes }, time.Millisecond
-	c.poll()
+	c.requestPoll()
 	c.runUntilTestEnds(t)
 	for _, want := range []string{"", "index=41&wait=5", "index=41&wait=1", "index=42&wait=20000"} {
 		if got := wait(t, "a call", queries); got != want {
@@ -234,7 +234,7 @@
 			time.Sleep(u.responseTime)
 			version = 42
 		}
-		if !ok(c, deltaResponse(version)) {
+		if !respondOK(c, deltaResponse(version)) {
 			return
 		}
 	}
@@ -247,7 +247,7 @@
 	for range 20 { // watches with different waits
 		synctest.Test(t, func(t *testing.T) {
 			discovery := &unansweringDiscovery{responseTime: time.Second, notifiedAfter: 2 * time.Second}
-			c := newTestDiscoveryClient(t, "127.0.0.1:1", listed(41, "ready", "127.0.0.1:80"), usePolling)
+			c := newTestDiscoveryClient(t, "127.0.0.1:1", fullListResponse(41, "ready", "127.0.0.1:80"), usePolling)
 			c.randomWatchTime = randomWatchTime
 			c.onFailure = func() { t.Error("onFailure called after a watch timeout") }
 			c.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -257,14 +257,14 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			stopped := make(chan struct{})
-			c.poll()
+			c.requestPoll()
 			go func() { c.run(ctx); close(stopped) }()
 			for (<-c.updates).Version != 42 {
 			}
 			readAt := time.Now()
 			cancel()
 			<-stopped
-			c.closeIdle()
+			c.closeIdleConn()
 			if late := readAt.Sub(*discovery.notifiedAt.Load()); late > 0 {
 				t.Errorf("change read %v after the sidecar counts as notified, want before", late)
 			}
@@ -275,7 +275,7 @@
 // With a pushed list, the sidecar counts as notified of a change during an outage of discovery as soon as
 // discovery is reachable again. The longest backoff must therefore be well below the drain grace.
 func TestBackoffFitsIntoDrainGrace(t *testing.T) {
-	cfg := testConfig(t, listed(1, "ready"), func(_, settings map[string]any) {
+	cfg := testConfig(t, fullListResponse(1, "ready"), func(_, settings map[string]any) {
 		settings["rules"].(map[string]any)["stop_sending_within_ms"] = 400.0
 	})
 	if d := newDiscoveryClient(cfg, nil, nil); d.maxBackoff != 100*time.Millisecond {
@@ -290,13 +290,13 @@
 		calls <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	c := newTestDiscoveryClient(t, address, listed(0, "ready"), usePolling)
+	c := newTestDiscoveryClient(t, address, fullListResponse(0, "ready"), usePolling)
 	c.runUntilTestEnds(t)
 	for range 2 {
 		if len(calls) > 0 {
 			t.Fatal("discovery called without a poll request")
 		}
-		c.poll()
+		c.requestPoll()
 		wait(t, "the failure", c.failures)
 		wait(t, "the call", calls)
 	}
@@ -315,11 +315,11 @@
 				watchEnded <- struct{}{}
 				return
 			}
-			_, _ = io.WriteString(w, listed(version, "ready", "127.0.0.1:81"))
+			_, _ = io.WriteString(w, fullListResponse(version, "ready", "127.0.0.1:81"))
 		})
 	}
 	oldAddress, newAddress := serveVersion(50), serveVersion(3)
-	c := newTestDiscoveryClient(t, oldAddress, listed(1, "ready"), nil)
+	c := newTestDiscoveryClient(t, oldAddress, fullListResponse(1, "ready"), nil)
 	c.onFailure = func() { t.Error("onFailure called after a change of address") }
 	c.runUntilTestEnds(t)
 	expectCall := func(want string) {
@@ -331,7 +331,7 @@
 	expectCall("50 ")
 	expectCall("50 index=50&wait=20000")
 	path := filepath.Join(t.TempDir(), "config.json")
-	valid := testConfigText(t, listed(1, "ready"), func(file, _ map[string]any) { file["discovery"] = newAddress })
+	valid := testConfigText(t, fullListResponse(1, "ready"), func(file, _ map[string]any) { file["discovery"] = newAddress })
 	for _, text := range []string{"{", valid} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -10,7 +10,7 @@
 
 // handleEndpointUpdate posts an endpoint update to the event loop. The discovery client calls it on its own
 // goroutine. Like post, it may block.
-func (l *eventLoop) endpointsChanged(update endpointlist.List) {
+func (l *eventLoop) handleEndpointUpdate(update endpointlist.List) {
 	kind := policy.DeltaUpdate
 	if update.Complete {
 		kind = policy.FullUpdate
@@ -20,7 +20,7 @@
 
 // handleDiscoveryFailure reports to the Balancer that following the endpoint list has failed. The discovery
 // client calls it on its own goroutine. Like post, it may block.
-func (l *eventLoop) endpointsFailed() {
+func (l *eventLoop) handleDiscoveryFailure() {
 	l.post(func(now time.Duration) { l.balancer.UpdateEndpoints(now, policy.UpdateFailed, nil) })
 }
 
@@ -39,7 +39,7 @@
 	}
 	for id, e := range previous {
 		if l.endpoints[id] != e {
-			l.transport.stopUnwritten(e)
+			l.transport.abandonUnwritten(e)
 			l.transport.remove(e)
 		}
 	}
@@ -59,7 +59,7 @@
 	case previous != nil && previous.address == address:
 		l.endpoints[entry.ID] = previous
 		if entry.State != policy.Ready {
-			l.transport.stopUnwritten(previous)
+			l.transport.abandonUnwritten(previous)
 		}
 	default:
 		l.endpoints[entry.ID] = &endpoint{address: address}
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -26,7 +26,7 @@
 				"X-Timeout", "Content-Length: 0\r\nX-Timeout").Replace(rawRequest("one"))
 			c := sendOnNewConn(t, address, nonIdempotent)
 			l.runNextEvent(t)
-			wait(t, "the first dial", gate.started)
+			wait(t, "the first dial", gate.dials)
 			update, err := endpointlist.Parse([]byte(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[
 				{"instanceId":"s-0","hostPort":%q,"lifecycle":%q},{"instanceId":"s-1","hostPort":%q,"lifecycle":"ready"}]}`,
 				s.address, lifecycle, other.address)), nil)
@@ -34,18 +34,18 @@
 				t.Fatal(err)
 			}
 			l.applyEndpoints(update, policy.DeltaUpdate)
-			gate.admit <- true
+			gate.proceed <- true
 			l.runNextEvent(t) // the attempt has ended as NotSent, and the next one starts
-			if dialed := wait(t, "the second dial", gate.started); dialed != other.address {
+			if dialed := wait(t, "the second dial", gate.dials); dialed != other.address {
 				t.Errorf("dialed address = %s, want that of the other server", dialed)
 			}
-			gate.admit <- true
+			gate.proceed <- true
 			l.runNextEvent(t)
 			if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != http.StatusOK {
 				t.Fatalf("response = %+v, error = %v, want status 200", res, err)
 			}
-			if len(s.seen) > 0 || len(other.seen) != 1 {
-				t.Errorf("requests = %d at the %s server, %d at the other, want 0 and 1", len(s.seen), lifecycle, len(other.seen))
+			if len(s.receivedRequests) > 0 || len(other.receivedRequests) != 1 {
+				t.Errorf("requests = %d at the %s server, %d at the other, want 0 and 1", len(s.receivedRequests), lifecycle, len(other.receivedRequests))
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	for _, lifecycle := range []string{"draining", "gone"} {
 		t.Run(lifecycle, func(t *testing.T) {
 			s := newStub(t, echo)
-			rejecting := newStub(t, rejectUnprocessed)
+			rejecting := newStub(t, respondNotProcessed)
 			l := newTestLoop(t, rejecting.address)
 			_, address := serveClients(t, l)
 			sendOnNewConn(t, address, rawRequest("rejected once"))
@@ -73,9 +73,9 @@
 			l.now += longerThanRetryPause
 			l.balancer.TimerFired(l.now)
 			l.reportDeniedSends()
-			if len(l.requests) != 2 || len(s.seen) > 0 || len(rejecting.seen) != 1 {
+			if len(l.requests) != 2 || len(s.receivedRequests) > 0 || len(rejecting.receivedRequests) != 1 {
 				t.Errorf("open requests = %d, sent to the second server = %d, sent to the rejecting one = %d, want 2, 0 and 1",
-					len(l.requests), len(s.seen), len(rejecting.seen))
+					len(l.requests), len(s.receivedRequests), len(rejecting.receivedRequests))
 			}
 		})
 	}
@@ -88,13 +88,13 @@
 	l := newTestLoop(t, s.address)
 	l.transport.minIdle = 0
 	removed := l.endpoints[serverID("s-0")]
-	attempt(t, l.transport, removed, "1", generous)
+	attempt(t, l.transport, removed, "1", testTimeout)
 	l.applyEndpoints(endpointlist.List{
 		Endpoints: []policy.Endpoint{{ID: 7, State: policy.Ready}},
 		Addresses: map[policy.EndpointID]string{7: s.address},
 	}, policy.DeltaUpdate)
-	attempt(t, l.transport, l.endpoints[7], "2", generous)
-	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn == second.conn {
+	attempt(t, l.transport, l.endpoints[7], "2", testTimeout)
+	if first, second := wait(t, "1", s.receivedRequests), wait(t, "2", s.receivedRequests); first.connNumber == second.connNumber {
 		t.Error("the request to the new server was sent on a connection of the removed one")
 	}
 }
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -18,11 +18,11 @@
 // newTestLoop returns a loop that is run by the test's own goroutine, with one server in its endpoint list.
 func newTestLoop(t *testing.T, address string) *eventLoop {
 	t.Helper()
-	return newTestLoopFor(t, testConfig(t, listed(1, "ready", address), nil))
+	return newTestLoopWithConfig(t, testConfig(t, fullListResponse(1, "ready", address), nil))
 }
 
 // newTestLoopWithConfig is newTestLoop with a given configuration.
-func newTestLoopFor(t *testing.T, cfg *Config) *eventLoop {
+func newTestLoopWithConfig(t *testing.T, cfg *Config) *eventLoop {
 	t.Helper()
 	clk := newClock()
 	l, err := newEventLoop(cfg, clk, newTransport(cfg, clk))
@@ -55,7 +55,7 @@
 // and all the same state.
 func (l *eventLoop) updateEndpoints(t *testing.T, lifecycle string, addresses ...string) {
 	t.Helper()
-	update, err := endpointlist.Parse([]byte(listed(2, lifecycle, addresses...)), nil)
+	update, err := endpointlist.Parse([]byte(fullListResponse(2, lifecycle, addresses...)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,25 +67,25 @@
 // decisions.
 func (l *eventLoop) addRequest(id policy.RequestID) (*request, chan response) {
 	reply := make(chan response, 1)
-	r := &request{outbound: newTestOutboundRequest("1"), reply: reply, deadline: l.now + generous}
+	r := &request{outbound: newTestOutboundRequest("1"), reply: reply, deadline: l.now + testTimeout}
 	l.requests[id] = r
 	return r, reply
 }
 
 // dialGate holds each dial to a server until the test lets it proceed.
 type dialGate struct {
-	started chan string // the address of each dial as it begins
-	admit   chan bool   // each item lets one dial proceed
+	dials   chan string // the address of each dial as it begins
+	proceed chan bool   // each item lets one dial proceed
 }
 
 // gateDials installs a gate in front of a transport's dials. A dial waits for the gate even when its context
 // has ended, as a dial may succeed at any time.
 func gateDials(tr *transport) *dialGate {
-	gate := &dialGate{started: make(chan string, 100), admit: make(chan bool, 100)}
+	gate := &dialGate{dials: make(chan string, 100), proceed: make(chan bool, 100)}
 	dial := tr.dial
 	tr.dial = func(_ context.Context, network, address string) (net.Conn, error) {
-		gate.started <- address
-		<-gate.admit
+		gate.dials <- address
+		<-gate.proceed
 		return dial(context.Background(), network, address)
 	}
 	return gate
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -170,7 +170,7 @@
 // writeRequest writes a request in a single call of Write, so that an error means that its last byte was not
 // sent.
 func (t *transport) writeRequest(c *conn, request *outboundRequest, now, deadline time.Duration) error {
-	_ = c.SetDeadline(t.clock.at(deadline)) // fails only on a closed connection, as the write then does
+	_ = c.SetDeadline(t.clock.toTime(deadline)) // fails only on a closed connection, as the write then does
 	if _, err := c.Write(request.encode(deadline - now)); err != nil {
 		return fmt.Errorf("transport: write request: %w", err)
 	}
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -36,7 +36,7 @@
 // expectDatagram reads one datagram from a socket and checks that it contains testGossipMessage.
 func expectDatagram(t *testing.T, conn *net.UDPConn) {
 	t.Helper()
-	if err := conn.SetReadDeadline(time.Now().Add(generous)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 1000)
@@ -87,7 +87,7 @@
 // messages passed to its handler. When the test ends, run must return.
 func runGossip(t *testing.T, broadcast string, peers ...string) (g *gossipTransport, messages chan peerMessage) {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready"), func(file, settings map[string]any) {
+	cfg := testConfig(t, fullListResponse(1, "ready"), func(file, settings map[string]any) {
 		settings["balancers"] = 3
 		settings["caps"].(map[string]any)["peers"] = true
 		file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", broadcast, peers
@@ -113,7 +113,7 @@
 // If the settings do not allow gossip, addresses of peers must have no effect: the transport is nil, and its
 // methods do nothing.
 func TestSidecarWithoutGossip(t *testing.T) {
-	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) {
+	cfg := testConfig(t, fullListResponse(1, "ready"), func(file, _ map[string]any) {
 		file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
 	})
 	g, err := newGossipTransport(cfg)
@@ -144,7 +144,7 @@
 		"peers":       []string{"127.0.0.1"},
 	} {
 		t.Run(field, func(t *testing.T) {
-			text := testConfigText(t, listed(1, "ready"), func(file, settings map[string]any) {
+			text := testConfigText(t, fullListResponse(1, "ready"), func(file, settings map[string]any) {
 				settings["caps"].(map[string]any)["peers"] = true
 				file["peer_listen"], file["peers_all"], file["peers"] = "127.0.0.1:0", "127.0.0.1:9", []string{"127.0.0.1:9"}
 				file[field] = value
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -40,7 +40,7 @@
 )
 
 // headerFlagTrue is the value of a boolean header that is set.
-const flagSet = "1"
+const headerFlagTrue = "1"
 
 // singleValueHeaders lists the headers that decide how a request is handled. A request that repeats one of
 // them is rejected: the sidecar and a server could each use a different value.
@@ -72,7 +72,7 @@
 
 // endToEndHeaders returns a copy of a message's header without the headers that must not be forwarded: those
 // in unforwardedHeaders and those that Connection names.
-func endToEnd(from http.Header) http.Header {
+func endToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
 		to[name] = values
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -14,7 +14,7 @@
 // Sends beyond the attempt limit (caps.most_tries), after the request's deadline, with an expired time limit
 // or to a server that is not listed must not be carried out. Each ends as NotSent.
 func TestInvalidSendsEndAsNotSent(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	l := newTestLoop(t, s.address)
 	l.addRequest(7)
 	to := serverID("s-0")
@@ -25,7 +25,7 @@
 	l.addRequest(8)
 	l.Send(8, serverID("not listed"), 0, 0)
 	l.Send(8, to, -time.Second, 0)
-	l.now += 2 * generous
+	l.now += 2 * testTimeout
 	l.Send(8, to, 0, 0)
 	want := []policy.Outcome{
 		{RequestID: 7, Attempt: 3, Result: policy.NotSent}, {RequestID: 8, Attempt: 0, Result: policy.NotSent},
@@ -40,7 +40,7 @@
 		}
 	}
 	for range 3 {
-		wait(t, "a request", s.seen)
+		wait(t, "a request", s.receivedRequests)
 	}
 	for i := range 3 {
 		l.Cancel(7, i)
@@ -68,18 +68,18 @@
 			}
 			const writeTimeout = time.Millisecond
 			l.now = l.clock.now()
-			l.Send(7, serverID("s-0"), generous, writeTimeout)
+			l.Send(7, serverID("s-0"), testTimeout, writeTimeout)
 			if late {
-				wait(t, "the dial", gate.started)
+				wait(t, "the dial", gate.dials)
 				for l.clock.now() < l.now+writeTimeout {
 					runtime.Gosched()
 				}
-				gate.admit <- true
+				gate.proceed <- true
 			}
 			l.runNextEvent(t)
-			if len(s.seen) > 0 || r.closed || r.inFlight != 0 {
+			if len(s.receivedRequests) > 0 || r.closed || r.inFlight != 0 {
 				t.Errorf("retries written = %d, closed = %v, attempts in flight = %d, want 0, false and 0",
-					len(s.seen), r.closed, r.inFlight)
+					len(s.receivedRequests), r.closed, r.inFlight)
 			}
 		})
 	}
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -75,7 +75,7 @@
 	arrived := f.clock.now()
 	if c := clientConnFromContext(r.Context()); c != nil {
 		c.expectBody(r.ContentLength)
-		arrived = min(arrived, f.clock.of(c.requestArrivalTime()))
+		arrived = min(arrived, f.clock.fromTime(c.requestArrivalTime()))
 	}
 	if isReadinessCheck(r) {
 		f.writeReadiness(w, r)
@@ -158,7 +158,7 @@
 	case <-r.Context().Done(): // net/http has noticed that the client disconnected
 	case <-client.disconnected: // the monitor has noticed it, after bytes that net/http does not read
 	}
-	f.loop.clientGone(number)
+	f.loop.clientDisconnected(number)
 	return nil
 }
 
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -15,10 +15,10 @@
 )
 
 // address returns the address that the sidecar listens on.
-func (s *running) address() string { return strings.TrimPrefix(s.url, "http://") }
+func (s *runningSidecar) address() string { return strings.TrimPrefix(s.url, "http://") }
 
 // dial opens a connection to the sidecar and closes it at the end of the test.
-func (s *running) dial(t *testing.T) net.Conn {
+func (s *runningSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address())
 	if err != nil {
@@ -34,8 +34,8 @@
 }
 
 // echoAfter responds like echo, but to the request with the given ID only after release is closed.
-func echoAfter(release <-chan struct{}, id string) func(net.Conn, received) bool {
-	return func(c net.Conn, r received) bool {
+func echoAfter(release <-chan struct{}, id string) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, r receivedRequest) bool {
 		if r.Header.Get("X-Request-ID") == id {
 			<-release
 		}
@@ -44,14 +44,14 @@
 }
 
 // respond500 responds that the request has failed and may have run.
-func respond500(c net.Conn, _ received) bool {
+func respond500(c net.Conn, _ receivedRequest) bool {
 	_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
 }
 
 func TestReadinessCheck(t *testing.T) {
-	side := start(t, nil)
-	if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
+	side := startSidecar(t, nil)
+	if res, _ := doRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
 		t.Errorf("GET /up: status %s, want 200", res.Status)
 	}
 }
@@ -59,18 +59,18 @@
 // A request and its response are forwarded unchanged, except for the headers that concern one connection only
 // and the server's load report.
 func TestRequestIsForwardedAndAnswered(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
 			"Content-Length: %d\r\n\r\n%s", len(r.body), r.body)
 		return err == nil
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	const uri, body = "/reading/hive%2F7?scale=a%20b&x", "41.5 kg"
-	res, resBody := do(t, side.request(t, "POST", uri, body, "Idempotency-Key", "k1", "Connection", "X-Hop", "X-Hop", "1"))
+	res, resBody := doRequest(t, side.newRequest(t, "POST", uri, body, "Idempotency-Key", "k1", "Connection", "X-Hop", "X-Hop", "1"))
 	if res.StatusCode != http.StatusOK || resBody != body || res.Header.Get("Content-Type") != "text/hive" {
 		t.Fatalf("response: status %s, body %q, headers %v", res.Status, resBody, res.Header)
 	}
-	got := wait(t, "the request", s.seen)
+	got := wait(t, "the request", s.receivedRequests)
 	if got.Method != "POST" || got.uri != uri || got.body != body {
 		t.Errorf("server received %s %s with body %q", got.Method, got.uri, got.body)
 	}
@@ -86,19 +86,19 @@
 // sidecar must not send the request again, as it could run twice.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	s := newStub(t, respond500)
-	side := start(t, nil, s.address)
-	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusBadGateway {
+	side := startSidecar(t, nil, s.address)
+	if res, _ := doRequest(t, side.newRequest(t, "POST", "/entry", "1")); res.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %s, want 502", res.Status)
 	}
-	if len(s.seen) != 1 {
-		t.Errorf("server received %d attempts, want 1", len(s.seen))
+	if len(s.receivedRequests) != 1 {
+		t.Errorf("server received %d attempts, want 1", len(s.receivedRequests))
 	}
 }
 
 // No server is known. Requests wait for one as long as their timeout and the queue allow, and are then
 // rejected. The response must state when to retry, in decimal seconds.
 func TestRejectedRequestsGetRetryAfter(t *testing.T) {
-	side := start(t, nil)
+	side := startSidecar(t, nil)
 	const requests = 50
 	type result struct {
 		res *http.Response
@@ -106,7 +106,7 @@
 	}
 	results := make(chan result, requests)
 	for i := range requests {
-		req := side.request(t, "GET", "/look", "", "X-Timeout", "500m", "X-Request-ID", "r"+strconv.Itoa(i))
+		req := side.newRequest(t, "GET", "/look", "", "X-Timeout", "500m", "X-Request-ID", "r"+strconv.Itoa(i))
 		go func() {
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 			results <- result{res, err}
@@ -131,15 +131,15 @@
 func TestDuplicateRequestIDIsRejectedWhileInFlight(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "r1"))
-	side := start(t, nil, s.address)
-	first := side.request(t, "POST", "/entry", "1")
+	side := startSidecar(t, nil, s.address)
+	first := side.newRequest(t, "POST", "/entry", "1")
 	answered := make(chan int, 1)
 	go func() {
-		res, _ := do(t, first)
+		res, _ := doRequest(t, first)
 		answered <- res.StatusCode
 	}()
-	wait(t, "the first request", s.seen)
-	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusConflict || !res.Close {
+	wait(t, "the first request", s.receivedRequests)
+	if res, _ := doRequest(t, side.newRequest(t, "POST", "/entry", "1")); res.StatusCode != http.StatusConflict || !res.Close {
 		t.Errorf("request with an ID in flight: status %s, want 409 and Connection: close", res.Status)
 	}
 	close(release)
@@ -147,8 +147,8 @@
 		t.Errorf("first request: status %d, want 200", status)
 	}
 	// The ID is released shortly after the response has been written.
-	for end := time.Now().Add(generous); ; time.Sleep(time.Millisecond) {
-		if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if res, _ := doRequest(t, side.newRequest(t, "POST", "/entry", "1")); res.StatusCode == http.StatusOK {
 			return
 		} else if time.Now().After(end) {
 			t.Fatalf("request with the ID of a finished request: status %s, want 200", res.Status)
@@ -162,12 +162,12 @@
 	const idleClients = 40
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "slow"))
-	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.address)
+	side := startSidecar(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.address)
 	active := side.dial(t)
-	if err := side.request(t, "GET", "/look", "", "X-Request-ID", "slow").Write(active); err != nil {
+	if err := side.newRequest(t, "GET", "/look", "", "X-Request-ID", "slow").Write(active); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the slow request", s.seen)
+	wait(t, "the slow request", s.receivedRequests)
 
 	closed := make(chan error, idleClients)
 	for range idleClients {
@@ -177,7 +177,7 @@
 			closed <- err
 		}()
 	}
-	if res, body := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK || body != "done r1" {
+	if res, body := doRequest(t, side.newRequest(t, "GET", "/look", "")); res.StatusCode != http.StatusOK || body != "done r1" {
 		t.Errorf("request beside idle connections: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
 	wait(t, "an idle connection to close", closed)
@@ -231,12 +231,12 @@
 // failingServer returns a server that fails in a different way for each remainder of the request ID modulo 5:
 // for 0 it rejects the request on every other connection, for 4 it always responds. It calls runs with the ID
 // of each request that it has not rejected.
-func failingServer(runs func(id string)) func(net.Conn, received) bool {
-	return func(c net.Conn, r received) bool {
+func failingServer(runs func(id string)) func(net.Conn, receivedRequest) bool {
+	return func(c net.Conn, r receivedRequest) bool {
 		id := r.Header.Get("X-Request-ID")
 		n, _ := strconv.Atoi(id)
-		if n%5 == 0 && r.conn%2 == 0 {
-			return rejectUnprocessed(c, r)
+		if n%5 == 0 && r.connNumber%2 == 0 {
+			return respondNotProcessed(c, r)
 		}
 		runs(id)
 		switch n % 5 {
@@ -263,8 +263,8 @@
 		defer mu.Unlock()
 		ran[id]++
 	})
-	side := start(t, nil, newStub(t, failing).address, newStub(t, failing).address, newStub(t, failing).address)
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers}, Timeout: generous}
+	side := startSidecar(t, nil, newStub(t, failing).address, newStub(t, failing).address, newStub(t, failing).address)
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers}, Timeout: testTimeout}
 	var clients sync.WaitGroup
 	for worker := range workers {
 		clients.Go(func() {
@@ -293,9 +293,9 @@
 
 // postEntry sends a non-idempotent request and checks that the response is the one to this request, or says
 // that it has failed. The returned error is that of the connection to the sidecar.
-func postEntry(t *testing.T, client *http.Client, side *running, id string) error {
+func postEntry(t *testing.T, client *http.Client, side *runningSidecar, id string) error {
 	t.Helper()
-	res, err := client.Do(side.request(t, "POST", "/entry", "1", "X-Request-ID", id))
+	res, err := client.Do(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
 	if err != nil {
 		return err
 	}
@@ -314,18 +314,18 @@
 
 // The number of requests in flight is at its limit. One more request must be rejected without an attempt.
 func TestRequestsOverTheLimitAreRejected(t *testing.T) {
-	s := newStub(t, silent)
-	side := start(t, setLimit("max_open", 1), s.address)
+	s := newStub(t, neverRespond)
+	side := startSidecar(t, setLimit("max_open", 1), s.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	first := side.request(t, "GET", "/look", "").WithContext(ctx)
+	first := side.newRequest(t, "GET", "/look", "").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(first) }()
-	wait(t, "the first request", s.seen)
-	res, _ := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "r2"))
+	wait(t, "the first request", s.receivedRequests)
+	res, _ := doRequest(t, side.newRequest(t, "GET", "/look", "", "X-Request-ID", "r2"))
 	if res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
 		t.Errorf("second request: status %s, headers %v, want 503 with Retry-After", res.Status, res.Header)
 	}
-	if len(s.seen) > 0 {
+	if len(s.receivedRequests) > 0 {
 		t.Error("second request was sent to the server, want no attempt")
 	}
 }
@@ -334,7 +334,7 @@
 // would use up the limit for all others.
 func TestUnsentBodiesAreNotCounted(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, setLimit("max_open", 1), s.address)
+	side := startSidecar(t, setLimit("max_open", 1), s.address)
 	for i := range 3 {
 		c := side.dial(t)
 		if _, err := fmt.Fprintf(c, rawHead+"Expect: 100-continue\r\nContent-Length: 60000\r\n\r\n", "u"+strconv.Itoa(i)); err != nil {
@@ -344,7 +344,7 @@
 			t.Fatal(err)
 		}
 	}
-	if res, _ := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
+	if res, _ := doRequest(t, side.newRequest(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
 		t.Errorf("GET /look: status %s, want 200", res.Status)
 	}
 }
@@ -352,18 +352,18 @@
 // A client closes its connection while its request is at a server. The attempt must be cancelled, which
 // closes the connection to the server. The timeouts are long, so that none of them ends the attempt first.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
-	s := newStub(t, silent)
-	side := start(t, func(_, settings map[string]any) {
+	s := newStub(t, neverRespond)
+	side := startSidecar(t, func(_, settings map[string]any) {
 		look := settings["classes"].([]any)[2].(map[string]any)
-		look["aim_ms"], look["hard_limit_ms"] = 10*generous.Milliseconds(), 20*generous.Milliseconds()
+		look["aim_ms"], look["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 20*testTimeout.Milliseconds()
 	}, s.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	req := side.request(t, "GET", "/look", "", "X-Timeout", "400000m").WithContext(ctx)
+	req := side.newRequest(t, "GET", "/look", "", "X-Timeout", "400000m").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(req) }()
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.receivedRequests)
 	cancel()
-	wait(t, "the attempt's connection to close", s.closed)
+	wait(t, "the attempt's connection to close", s.closedConns)
 }
 
 // The sidecar gets SIGTERM with a request in flight. It must respond to that request, serve new connections
@@ -372,19 +372,19 @@
 func TestDrainAnswersAllRequests(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "slow"))
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	conn := side.dial(t)
-	if err := side.request(t, "GET", "/look", "", "X-Request-ID", "slow").Write(conn); err != nil {
+	if err := side.newRequest(t, "GET", "/look", "", "X-Request-ID", "slow").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the slow request", s.seen)
+	wait(t, "the slow request", s.receivedRequests)
 	side.stop()
 	for { // until the sidecar is draining
-		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
+		if res, _ := doRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
 			break
 		}
 	}
-	if res, body := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "new")); res.StatusCode != 200 || body != "done new" {
+	if res, body := doRequest(t, side.newRequest(t, "GET", "/look", "", "X-Request-ID", "new")); res.StatusCode != 200 || body != "done new" {
 		t.Errorf("request on a new connection: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
 	close(release)
@@ -393,7 +393,7 @@
 		t.Fatalf("slow request: response %+v, error %v, want 200 and Connection: close", res, err)
 	}
 	res.Body.Close()
-	if err := wait(t, "serve to return", side.ended); err != nil {
+	if err := wait(t, "serve to return", side.serveErr); err != nil {
 		t.Errorf("serve() = %v, want nil", err)
 	}
 }
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -131,7 +131,7 @@
 			readUntilClosed(r) // a watch that was open when the outage began is never answered
 			return
 		}
-		if !ok(c, o.endpointList()) {
+		if !respondOK(c, o.endpointList()) {
 			return
 		}
 	}
@@ -270,12 +270,12 @@
 	for o.sinceRecovery() < notifiedAfter+countedFor { // discovery recovers, as the sidecar goes on calling it
 		time.Sleep(requestInterval)
 		reply := make(chan response, 1)
-		l.submit(policy.Request{Class: cfg.Classes["look"]}, newTestOutboundRequest("1"), l.clock.now()+generous, reply)
+		l.submit(policy.Request{Class: cfg.Classes["look"]}, newTestOutboundRequest("1"), l.clock.now()+testTimeout, reply)
 		<-reply
 	}
 	cancel()
 	running.Wait()
-	d.closeIdle()
+	d.closeIdleConn()
 	o.closeAll()
 	time.Sleep(maxWatchTime) // lets discovery's goroutines notice the closed connections and end
 	return counts
@@ -296,7 +296,7 @@
 // outageConfig returns the configuration of a sidecar that starts before the outage.
 func outageConfig(t *testing.T, mode string, o *outage) *Config {
 	t.Helper()
-	cfg := testConfig(t, listed(41, "ready", o.drainingAddress, o.otherAddress), func(_, settings map[string]any) {
+	cfg := testConfig(t, fullListResponse(41, "ready", o.drainingAddress, o.otherAddress), func(_, settings map[string]any) {
 		settings["discovery"] = mode
 		settings["rules"].(map[string]any)["stop_sending_within_ms"] = 1000.0
 		settings["rules"].(map[string]any)["ask_within_ms"] = 10000.0
@@ -316,8 +316,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := newDiscoveryClient(cfg, l.endpointsChanged, l.endpointsFailed)
-	l.watchEndpoints = d.poll
+	d := newDiscoveryClient(cfg, l.handleEndpointUpdate, l.handleDiscoveryFailure)
+	l.watchEndpoints = d.requestPoll
 	d.dial = counts.outage.dial
 	return l, d
 }
--- a/internal/sidecar/outbound.go
+++ b/internal/sidecar/outbound.go
@@ -27,7 +27,7 @@
 		method:       r.Method,
 		uri:          r.RequestURI,
 		host:         r.Host,
-		header:       endToEnd(r.Header),
+		header:       endToEndHeaders(r.Header),
 		body:         body,
 		clientClosed: clientClosed,
 	}
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -77,7 +77,7 @@
 		return parsed, rejection
 	}
 	parsed.policy.Key = hashRouteKey(r.Header)
-	parsed.policy.ClientRetry = r.Header.Get(headerRetried) == flagSet
+	parsed.policy.ClientRetry = r.Header.Get(headerRetried) == headerFlagTrue
 	return parsed, nil
 }
 
--- a/internal/sidecar/parse_test.go
+++ b/internal/sidecar/parse_test.go
@@ -19,7 +19,7 @@
 // length is valid.
 func TestBadInput(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	for name, c := range map[string]struct {
 		method  string
 		path    string
@@ -48,24 +48,24 @@
 		"body too long":              {"POST", "/entry", strings.Repeat("x", maxBodyBytes+1), nil, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			res, _ := do(t, side.request(t, c.method, c.path, c.body, c.headers...))
+			res, _ := doRequest(t, side.newRequest(t, c.method, c.path, c.body, c.headers...))
 			if res.StatusCode != c.status {
 				t.Errorf("status %s, want %d", res.Status, c.status)
 			}
 		})
 	}
-	res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes)))
+	res, body := doRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", maxBodyBytes)))
 	if res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("body of the maximum length: status %s, body %q, want 200 and its own response", res.Status, body)
 	}
-	if len(s.seen) != 1 {
-		t.Errorf("server received %d requests, want only the valid one", len(s.seen))
+	if len(s.receivedRequests) != 1 {
+		t.Errorf("server received %d requests, want only the valid one", len(s.receivedRequests))
 	}
 }
 
 // parseRequest must map the headers of a request to the fields of policy.Request.
 func TestParseRequestMapsHeaders(t *testing.T) {
-	cfg := testConfig(t, listed(1, "ready"), nil)
+	cfg := testConfig(t, fullListResponse(1, "ready"), nil)
 	handler := newIngress(cfg, newClock(), nil)
 	newRequest := func(headers ...string) *http.Request {
 		r := httptest.NewRequest(http.MethodGet, "/look/hive", nil)
@@ -105,7 +105,7 @@
 // of name and value), and returns the rejection, if any.
 func parseTestRequest(t *testing.T, target string, headers ...string) *rejectionError {
 	t.Helper()
-	handler := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
+	handler := newIngress(testConfig(t, fullListResponse(1, "ready"), nil), newClock(), nil)
 	r := httptest.NewRequest(http.MethodGet, target, nil)
 	for _, header := range []string{"X-Request-ID: r1", "X-Priority-Class: look", "X-Tenant-Id: south", "X-Timeout: 480m"} {
 		name, value, _ := strings.Cut(header, ": ")
@@ -187,14 +187,14 @@
 
 // sendRaw sends bytes on a new connection and returns the statuses of the responses on it. It reports an
 // error if the sidecar does not close the connection.
-func (s *running) sendRaw(t *testing.T, bytes string) []int {
+func (s *runningSidecar) sendRaw(t *testing.T, bytes string) []int {
 	t.Helper()
 	c, err := net.Dial("tcp", s.address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(generous))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, bytes); err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 // interpreting the bytes that follow. Nothing may reach a server.
 func TestMalformedRequests(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	head := fmt.Sprintf(rawHead, "r1")
 	hidden := fmt.Sprintf(rawHead, "hidden") + "Content-Length: 1\r\n\r\n1"
 	for name, c := range map[string]struct {
@@ -252,8 +252,8 @@
 		})
 	}
 	t.Cleanup(func() {
-		if len(s.seen) > 0 {
-			t.Errorf("server received %d requests, want none", len(s.seen))
+		if len(s.receivedRequests) > 0 {
+			t.Errorf("server received %d requests, want none", len(s.receivedRequests))
 		}
 	})
 }
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -14,19 +14,19 @@
 func TestPipelinedRequestKeepsItsConnection(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, echoAfter(release, "second"))
-	side := start(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.address)
+	side := startSidecar(t, func(file, _ map[string]any) { file["limits"].(map[string]any)["sockets"] = 32 }, s.address)
 	address := strings.TrimPrefix(side.url, "http://")
 	client := sendOnNewConn(t, address, rawRequest("first")+rawRequest("second"))
 	r := bufio.NewReader(client)
 	expectOK(t, r)
-	wait(t, "the first request", s.seen)
-	wait(t, "the second request", s.seen)
+	wait(t, "the first request", s.receivedRequests)
+	wait(t, "the second request", s.receivedRequests)
 	began := time.Now()
 	for range 40 { // more than the limit on client connections
 		sendOnNewConn(t, address, "")
 	}
 	for time.Since(began) < 2*minClientIdle { // no connection may be closed earlier
-		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
+		if res, _ := doRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
 			t.Fatalf("GET /up: status %s, want 200", res.Status)
 		}
 	}
@@ -48,9 +48,9 @@
 			t.Parallel()
 			release := make(chan struct{})
 			s := newStub(t, echoAfter(release, "first"))
-			side := start(t, nil, s.address)
+			side := startSidecar(t, nil, s.address)
 			client := sendOnNewConn(t, strings.TrimPrefix(side.url, "http://"), sent[0])
-			wait(t, "the first request", s.seen)
+			wait(t, "the first request", s.receivedRequests)
 			for _, text := range sent[1:] {
 				write(t, client, text)
 			}
@@ -63,7 +63,7 @@
 			if n, err := r.Read(make([]byte, 1)); err != io.EOF {
 				t.Errorf("read %d bytes, error %v after the last response, want 0 bytes and io.EOF", n, err)
 			}
-			if err := wait(t, "serve to return", side.ended); err != nil {
+			if err := wait(t, "serve to return", side.serveErr); err != nil {
 				t.Errorf("serve() = %v, want nil", err)
 			}
 		})
@@ -90,17 +90,17 @@
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
 			s := newStub(t, echoAfter(release, "first"))
-			side := start(t, nil, s.address)
+			side := startSidecar(t, nil, s.address)
 			pipelined := withTimeout("enough", "20000m") + withTimeout("too late", "90m")
 			first := rawRequest("first")
 			if !separately {
 				first, pipelined = first+pipelined, ""
 			}
 			client := sendOnNewConn(t, strings.TrimPrefix(side.url, "http://"), first)
-			wait(t, "the first request", s.seen)
+			wait(t, "the first request", s.receivedRequests)
 			write(t, client, pipelined)
 			for sent := time.Now(); time.Since(sent) < 2*minWait; { // the sidecar reads the request in the first half
-				if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
+				if res, _ := doRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
 					t.Fatalf("GET /up: status %s, want 200", res.Status)
 				}
 			}
@@ -108,13 +108,13 @@
 			r := bufio.NewReader(client)
 			expectOK(t, r)
 			expectOK(t, r)
-			forwarded, ok := parseTimeout(wait(t, "the second request", s.seen).Header.Get("X-Timeout"))
+			forwarded, ok := parseTimeout(wait(t, "the second request", s.receivedRequests).Header.Get("X-Timeout"))
 			if limit := 20*time.Second - minWait; !ok || forwarded > limit {
 				t.Errorf("server received X-Timeout of %v, want at most %v", forwarded, limit)
 			}
 			res, err := http.ReadResponse(r, nil)
-			if err != nil || res.StatusCode != http.StatusServiceUnavailable || len(s.seen) > 0 {
-				t.Errorf("request whose timeout has passed: response %+v, error %v, %d forwarded; want 503 and none", res, err, len(s.seen))
+			if err != nil || res.StatusCode != http.StatusServiceUnavailable || len(s.receivedRequests) > 0 {
+				t.Errorf("request whose timeout has passed: response %+v, error %v, %d forwarded; want 503 and none", res, err, len(s.receivedRequests))
 			}
 		})
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -30,12 +30,12 @@
 	minIdle     time.Duration // connections that were idle for less are not reused yet
 	maxConns    int           // limit on open connections
 
-	mu         sync.Mutex
-	idle       map[*endpoint][]*conn // each server's idle connections, the most recently used last
-	openConns  int                   // connections that are idle, in use or being dialed
-	sweeper    *time.Timer           // runs closeExpired; nil while no sweep is scheduled
-	dialed     int                   // connections dialed since the start
-	staleConns int                   // since the start: idle connections found closed or with unrequested bytes
+	mu          sync.Mutex
+	idle        map[*endpoint][]*conn // each server's idle connections, the most recently used last
+	openConns   int                   // connections that are idle, in use or being dialed
+	sweeper     *time.Timer           // runs closeExpired; nil while no sweep is scheduled
+	dialedConns int                   // connections dialed since the start
+	staleConns  int                   // since the start: idle connections found closed or with unrequested bytes
 }
 
 func newConnPool(cfg *Config, clk clock) *connPool {
@@ -99,7 +99,7 @@
 		p.closeOldestLocked(oldest, 1)
 	}
 	p.openConns++
-	p.dialed++
+	p.dialedConns++
 	return nil
 }
 
@@ -230,7 +230,7 @@
 	defer p.mu.Unlock()
 	return slog.GroupValue(
 		slog.Int("open_connections", p.openConns),
-		slog.Int("dialed_connections", p.dialed),
+		slog.Int("dialed_connections", p.dialedConns),
 		slog.Int("stale_connections", p.staleConns),
 	)
 }
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -19,8 +19,8 @@
 
 func expectDialedConns(t *testing.T, tr *transport, want int) {
 	t.Helper()
-	if tr.dialed != want {
-		t.Errorf("dialed connections = %d, want %d", tr.dialed, want)
+	if tr.dialedConns != want {
+		t.Errorf("dialed connections = %d, want %d", tr.dialedConns, want)
 	}
 }
 
@@ -28,7 +28,7 @@
 	s := newStub(t, echo)
 	tr := newTestTransport(t)
 	for i := range 5 {
-		attempt(t, tr, s.endpoint, fmt.Sprint(i), generous)
+		attempt(t, tr, s.endpoint, fmt.Sprint(i), testTimeout)
 	}
 	expectDialedConns(t, tr, 1)
 }
@@ -37,25 +37,25 @@
 // must detect that before it writes a request on such a connection.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	closeNow, closed := make(chan struct{}), make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		answered := echo(c, r)
-		if r.conn == 0 {
+		if r.connNumber == 0 {
 			<-closeNow
 			c.Close()
 			close(closed)
 		}
-		return answered && r.conn > 0
+		return answered && r.connNumber > 0
 	})
 	tr := newTestTransport(t)
-	attempt(t, tr, s.endpoint, "1", generous)
+	attempt(t, tr, s.endpoint, "1", testTimeout)
 	close(closeNow)
 	wait(t, "the server to close", closed)
-	for end := time.Now().Add(generous); connAlive(tr.idle[s.endpoint][0].Conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); connAlive(tr.idle[s.endpoint][0].Conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the close has crossed the loopback long before
 			t.Fatal("connAlive = true for a connection that the server has closed, want false")
 		}
 	}
-	if got := attempt(t, tr, s.endpoint, "2", generous); got.result != policy.Succeeded {
+	if got := attempt(t, tr, s.endpoint, "2", testTimeout); got.result != policy.Succeeded {
 		t.Fatalf("result = %v, want %v", got.result, policy.Succeeded)
 	}
 	if tr.staleConns != 1 {
@@ -71,14 +71,14 @@
 func TestExpiredConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	tr := newTestTransport(t)
-	attempt(t, tr, s.endpoint, "1", generous)
+	attempt(t, tr, s.endpoint, "1", testTimeout)
 	expireFirstIdle(t, tr, s.endpoint)
 	tr.closeExpired()
-	wait(t, "the expired connection to close", s.closed)
+	wait(t, "the expired connection to close", s.closedConns)
 
-	attempt(t, tr, s.endpoint, "2", generous)
+	attempt(t, tr, s.endpoint, "2", testTimeout)
 	expireFirstIdle(t, tr, s.endpoint)
-	attempt(t, tr, s.endpoint, "3", generous)
+	attempt(t, tr, s.endpoint, "3", testTimeout)
 	expectDialedConns(t, tr, 3)
 	expectOpenConns(t, tr, 1)
 }
@@ -87,7 +87,7 @@
 // after. The connection that has been idle longest must therefore be used first.
 func TestOldestIdleConnectionIsUsedFirst(t *testing.T) {
 	bothArrived := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		if id := r.Header.Get("X-Request-ID"); id == "1" || id == "2" {
 			<-bothArrived
 		}
@@ -95,17 +95,17 @@
 	})
 	tr := newTestTransport(t)
 	_, first := startAttempt(t, tr, s.endpoint, "1")
-	wait(t, "request 1", s.seen)
+	wait(t, "request 1", s.receivedRequests)
 	_, second := startAttempt(t, tr, s.endpoint, "2") // the first is in flight, so this needs a second connection
-	wait(t, "request 2", s.seen)
+	wait(t, "request 2", s.receivedRequests)
 	close(bothArrived)
 	wait(t, "the first result", first)
 	wait(t, "the second result", second)
 
 	used := make(map[int]bool)
 	for _, id := range []string{"3", "4"} { // one after the other
-		attempt(t, tr, s.endpoint, id, generous)
-		used[wait(t, "request "+id, s.seen).conn] = true
+		attempt(t, tr, s.endpoint, id, testTimeout)
+		used[wait(t, "request "+id, s.receivedRequests).connNumber] = true
 	}
 	if len(used) != 2 {
 		t.Error("both requests used the same connection, want the one that was idle longest each time")
@@ -116,16 +116,16 @@
 // read as the next request's response. A connection must therefore stay idle for a minimum time, so that
 // bytes which arrive by then are detected.
 func TestDuplicateResponseIsNotTheNextResponse(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
-		if id := r.Header.Get("X-Request-ID"); r.conn == 0 && id != "1" {
-			return ok(c, "done 1")
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
+		if id := r.Header.Get("X-Request-ID"); r.connNumber == 0 && id != "1" {
+			return respondOK(c, "done 1")
 		}
 		return echo(c, r)
 	})
 	tr := newTestTransport(t)
-	tr.minIdle = generous
-	attempt(t, tr, s.endpoint, "1", generous)
-	if got := attempt(t, tr, s.endpoint, "2", generous); string(got.body) != "done 2" {
+	tr.minIdle = testTimeout
+	attempt(t, tr, s.endpoint, "1", testTimeout)
+	if got := attempt(t, tr, s.endpoint, "2", testTimeout); string(got.body) != "done 2" {
 		t.Errorf("result = %v, body = %q, want the response to request 2", got.result, got.body)
 	}
 }
@@ -133,16 +133,16 @@
 // At the limit on connections, an idle connection to another server must be closed for a new one. If none is
 // idle, nothing must be sent, with a result that is no evidence about the server.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
-	a, b, unresponsive := newStub(t, echo), newStub(t, echo), newStub(t, silent)
+	a, b, unresponsive := newStub(t, echo), newStub(t, echo), newStub(t, neverRespond)
 	tr := newTestTransport(t)
 	tr.maxConns = 1
-	attempt(t, tr, a.endpoint, "1", generous)
-	expectResult(t, attempt(t, tr, b.endpoint, "2", generous), policy.Succeeded)
+	attempt(t, tr, a.endpoint, "1", testTimeout)
+	expectResult(t, attempt(t, tr, b.endpoint, "2", testTimeout), policy.Succeeded)
 	expectOpenConns(t, tr, 1)
 
 	x, done := startAttempt(t, tr, unresponsive.endpoint, "3")
-	wait(t, "request 3", unresponsive.seen)
-	expectResult(t, attempt(t, tr, a.endpoint, "4", generous), policy.NotSent)
+	wait(t, "request 3", unresponsive.receivedRequests)
+	expectResult(t, attempt(t, tr, a.endpoint, "4", testTimeout), policy.NotSent)
 	x.cancel()
 	wait(t, "the cancelled attempt", done)
 }
@@ -152,20 +152,20 @@
 // closed: a new one shows whether the machine can be reached. A timeout shorter than the dial timeout is no
 // such evidence.
 func TestTimeoutClosesOlderIdleConnections(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		id := r.Header.Get("X-Request-ID")
 		return id == "brief" || id == "silent" || echo(c, r)
 	})
 	tr := newTestTransport(t)
-	attempt(t, tr, s.endpoint, "1", generous)
-	tr.minIdle = generous // forces the next attempts to dial
+	attempt(t, tr, s.endpoint, "1", testTimeout)
+	tr.minIdle = testTimeout // forces the next attempts to dial
 	attempt(t, tr, s.endpoint, "brief", 100*time.Millisecond)
 	if len(tr.idle[s.endpoint]) != 1 {
 		t.Fatal("idle connection was closed by a timeout shorter than the dial timeout")
 	}
 	tr.dialTimeout = time.Second / 2
 	attempt(t, tr, s.endpoint, "silent", time.Second)
-	wait(t, "a connection to close", s.closed)
+	wait(t, "a connection to close", s.closedConns)
 	expectOpenConns(t, tr, 0)
 }
 
@@ -173,13 +173,13 @@
 // may belong to another server by the time of the next request.
 func TestConnectionOfARemovedServerIsNotPooled(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 		<-release
 		return echo(c, r)
 	})
 	tr := newTestTransport(t)
 	_, done := startAttempt(t, tr, s.endpoint, "1")
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.receivedRequests)
 	tr.remove(s.endpoint)
 	close(release)
 	expectResult(t, wait(t, "the result", done), policy.Succeeded)
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -18,10 +18,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := newIngress(testConfig(t, listed(1, "ready"), nil), newClock(), nil)
-	handler.rejectedBodyTimeout = generous
+	handler := newIngress(testConfig(t, fullListResponse(1, "ready"), nil), newClock(), nil)
+	handler.rejectedBodyTimeout = testTimeout
 	a := newAcceptor(listener, maxConns)
-	a.closeDelay = generous
+	a.closeDelay = testTimeout
 	server := handler.server(a)
 	go func() { _ = server.Serve(a) }() // ends with the test
 	t.Cleanup(func() { server.Close() })
@@ -83,7 +83,7 @@
 // with these bytes unread would reset the connection. The client must be able to read the response and the
 // end of the connection first.
 func TestResponseIsReadableDespiteUnreadBytes(t *testing.T) {
-	const size = 4 * maxDroppedBodyBytes
+	const size = 4 * maxDiscardedBodyBytes
 	for name, c := range map[string]struct {
 		sent   string
 		status int
@@ -118,11 +118,11 @@
 func TestClosingConnectionsAreClosedForNewClients(t *testing.T) {
 	address := serveRejections(t, 1)
 	for range 3 {
-		client := sendOnNewConn(t, address, requestHead("POST", "entry", fmt.Sprintf("Content-Length: %d", 4*maxDroppedBodyBytes)))
+		client := sendOnNewConn(t, address, requestHead("POST", "entry", fmt.Sprintf("Content-Length: %d", 4*maxDiscardedBodyBytes)))
 		expectRejection(t, bufio.NewReader(client), http.StatusRequestEntityTooLarge)
 		written := make(chan error, 1)
 		go func() {
-			_, err := io.WriteString(client, strings.Repeat("x", 4*maxDroppedBodyBytes))
+			_, err := io.WriteString(client, strings.Repeat("x", 4*maxDiscardedBodyBytes))
 			written <- err
 		}()
 		t.Cleanup(func() { <-written })
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -42,7 +42,7 @@
 
 // clientDisconnected registers that the client of a request has closed its connection. The ingress calls it
 // on the goroutine of that connection; it blocks as post does.
-func (l *eventLoop) clientGone(id policy.RequestID) {
+func (l *eventLoop) clientDisconnected(id policy.RequestID) {
 	l.post(func(now time.Duration) {
 		if r := l.requests[id]; r != nil {
 			l.closeDisconnected(now, id, r)
--- a/internal/sidecar/requests_test.go
+++ b/internal/sidecar/requests_test.go
@@ -14,11 +14,11 @@
 // Outcome, and the request must leave the table with the last of them.
 func TestOneResponseForEachRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
-		if r.conn > 0 {
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
+		if r.connNumber > 0 {
 			<-release
 		}
-		return ok(c, "first")
+		return respondOK(c, "first")
 	})
 	l := newTestLoop(t, s.address)
 	r, reply := l.addRequest(7)
@@ -48,11 +48,11 @@
 // An attempt that is cancelled after its request's response must still report an Outcome. Otherwise the
 // Balancer would count it as in flight forever.
 func TestCancelledAttemptReportsOutcomeAfterResponse(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	l := newTestLoop(t, s.address)
 	r, reply := l.addRequest(7)
 	l.Send(7, serverID("s-0"), 0, 0)
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.receivedRequests)
 	l.Fail(7)
 	if got := wait(t, "the response", reply); got.status != http.StatusGatewayTimeout {
 		t.Errorf("status = %d, want 504", got.status)
@@ -70,16 +70,16 @@
 
 // A client that disconnects must get no response, and its attempts must be cancelled.
 func TestDisconnectedClientGetsNoResponse(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	l := newTestLoop(t, s.address)
 	reply := make(chan response, 1)
-	id := l.submit(policy.Request{Class: 0}, newTestOutboundRequest("1"), l.now+generous, reply)
+	id := l.submit(policy.Request{Class: 0}, newTestOutboundRequest("1"), l.now+testTimeout, reply)
 	l.runNextEvent(t)
-	wait(t, "the request", s.seen)
-	l.clientGone(id)
+	wait(t, "the request", s.receivedRequests)
+	l.clientDisconnected(id)
 	l.runNextEvent(t)
 	l.runNextEvent(t) // its attempt ends
-	wait(t, "the connection to close", s.closed)
+	wait(t, "the connection to close", s.closedConns)
 	if len(l.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d responses, want none", len(l.requests), len(reply))
 	}
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -13,7 +13,7 @@
 	rejectedBodyTimeout = 500 * time.Millisecond
 	// maxDiscardedBodyBytes limits how much of that body is read: reading more would cost CPU time that other
 	// requests need.
-	maxDroppedBodyBytes = 256 << 10
+	maxDiscardedBodyBytes = 256 << 10
 )
 
 // write sends the final response to the client.
@@ -30,7 +30,7 @@
 
 // writeOK forwards a server's response.
 func (r response) writeOK(w http.ResponseWriter) {
-	for name, values := range endToEnd(r.header) {
+	for name, values := range endToEndHeaders(r.header) {
 		w.Header()[name] = values
 	}
 	if r.header[headerContentType] == nil {
@@ -63,7 +63,7 @@
 	if control.Flush() != nil {
 		return // the client has disconnected
 	}
-	if _, err := io.CopyN(io.Discard, r.Body, maxDroppedBodyBytes); err != io.EOF {
+	if _, err := io.CopyN(io.Discard, r.Body, maxDiscardedBodyBytes); err != io.EOF {
 		delayClose(r.Context())
 	}
 }
--- a/internal/sidecar/result.go
+++ b/internal/sidecar/result.go
@@ -87,7 +87,7 @@
 	case http.StatusOK:
 		return policy.Succeeded
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if res.Header.Get(headerNotProcessed) == flagSet {
+		if res.Header.Get(headerNotProcessed) == headerFlagTrue {
 			return policy.Rejected
 		}
 	}
--- a/internal/sidecar/result_test.go
+++ b/internal/sidecar/result_test.go
@@ -87,15 +87,15 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStub(t, func(conn net.Conn, r received) bool {
-				if r.conn > 0 {
-					return ok(conn, "retried")
+			s := newStub(t, func(conn net.Conn, r receivedRequest) bool {
+				if r.connNumber > 0 {
+					return respondOK(conn, "retried")
 				}
 				_, _ = conn.Write([]byte(c.response)) // fails if the transport closes the connection first
 				return !c.serverCloses
 			})
 			tr := newTestTransport(t)
-			got := attempt(t, tr, s.endpoint, "1", generous)
+			got := attempt(t, tr, s.endpoint, "1", testTimeout)
 			if got.result != c.result {
 				t.Fatalf("result = %v, want %v", got.result, c.result)
 			}
@@ -107,8 +107,8 @@
 				t.Errorf("idle connections = %d, want the connection pooled: %v", idle, c.pooled)
 			}
 			expectOpenConns(t, tr, idle)
-			if len(s.seen) != 1 {
-				t.Errorf("server got %d requests, want 1", len(s.seen))
+			if len(s.receivedRequests) != 1 {
+				t.Errorf("server got %d requests, want 1", len(s.receivedRequests))
 			}
 		})
 	}
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -65,7 +65,7 @@
 // newFailingStubs starts n stub servers that answer every request with status 500.
 func newFailingStubs(t *testing.T, n int) (stubs []*stub, addresses []string) {
 	t.Helper()
-	fail := func(c net.Conn, _ received) bool {
+	fail := func(c net.Conn, _ receivedRequest) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	}
@@ -95,8 +95,8 @@
 // starts a new sidecar for them, because a sidecar makes fewer attempts after failures.
 func (d deployment) checkClass(t *testing.T, class string, stubs []*stub, addresses []string) {
 	t.Helper()
-	side := start(t, d.replaceSettings(t), addresses...)
-	cfg := testConfig(t, listed(1, "ready"), d.replaceSettings(t))
+	side := startSidecar(t, d.replaceSettings(t), addresses...)
+	cfg := testConfig(t, fullListResponse(1, "ready"), d.replaceSettings(t))
 	classConfig := cfg.Policy.Classes[cfg.Classes[class]]
 	headers := []string{"X-Tenant-Id", d.tenant, "X-Timeout", "13000m"}
 	if classConfig.Idempotency == policy.IdempotentByKey {
@@ -107,18 +107,18 @@
 		body = "1"
 	}
 
-	res, _ := do(t, side.request(t, method, "/"+class, body, headers...))
+	res, _ := doRequest(t, side.newRequest(t, method, "/"+class, body, headers...))
 	if want := failureStatus(classConfig); res.StatusCode != want {
 		t.Errorf("class %s: status = %s, want %d", class, res.Status, want)
 	}
 	d.checkAttempts(t, class, stubs)
 
 	for invalid, req := range map[string]*http.Request{
-		"a class of another deployment":  side.request(t, "GET", "/"+d.otherName, "", "X-Tenant-Id", d.tenant),
-		"a tenant of another deployment": side.request(t, method, "/"+class, body, append(headers, "X-Tenant-Id", "north")...),
-		"a timeout beyond the class's":   side.request(t, method, "/"+class, body, append(headers, "X-Timeout", "700000m")...),
+		"a class of another deployment":  side.newRequest(t, "GET", "/"+d.otherName, "", "X-Tenant-Id", d.tenant),
+		"a tenant of another deployment": side.newRequest(t, method, "/"+class, body, append(headers, "X-Tenant-Id", "north")...),
+		"a timeout beyond the class's":   side.newRequest(t, method, "/"+class, body, append(headers, "X-Timeout", "700000m")...),
 	} {
-		if res, _ := do(t, req); res.StatusCode != http.StatusBadRequest {
+		if res, _ := doRequest(t, req); res.StatusCode != http.StatusBadRequest {
 			t.Errorf("class %s, %s: status = %s, want 400", class, invalid, res.Status)
 		}
 	}
@@ -141,8 +141,8 @@
 	maxTimeout := time.Duration(min(13000, d.objectives[class])) * time.Millisecond
 	attempts := 0
 	for _, s := range stubs {
-		for len(s.seen) > 0 {
-			r := <-s.seen
+		for len(s.receivedRequests) > 0 {
+			r := <-s.receivedRequests
 			attempts++
 			if timeout, ok := parseTimeout(r.Header.Get("X-Timeout")); !ok || timeout > maxTimeout {
 				t.Errorf("class %s: X-Timeout = %v, want at most %v", class, timeout, maxTimeout)
@@ -158,7 +158,7 @@
 func TestLimitsComeFromFileInUse(t *testing.T) {
 	for n, d := range deploymentOrder {
 		t.Run(fmt.Sprint(n, " ", d.settingsFile), func(t *testing.T) {
-			cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), d.replaceSettings(t))
+			cfg := testConfig(t, fullListResponse(1, "ready", "127.0.0.1:1"), d.replaceSettings(t))
 			s, err := settings.ParseJSON(d.readSettings(t))
 			if err != nil {
 				t.Fatal(err)
@@ -177,7 +177,7 @@
 // checkSlotsFollowWeights checks that no tenant has fewer slots than a tenant with a lower weight.
 func checkSlotsFollowWeights(t *testing.T, cfg *Config) {
 	t.Helper()
-	l := newTestLoopFor(t, cfg)
+	l := newTestLoopWithConfig(t, cfg)
 	for i, tenant := range cfg.Policy.Tenants {
 		for j, other := range cfg.Policy.Tenants {
 			if tenant.Weight > other.Weight && l.balancer.FreeSlots(i) < l.balancer.FreeSlots(j) {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -10,11 +10,11 @@
 )
 
 // stopAndAwaitDrain makes a sidecar stop, and waits until GET /up reports that it is draining.
-func stopAndAwaitDrain(t *testing.T, side *running) {
+func stopAndAwaitDrain(t *testing.T, side *runningSidecar) {
 	t.Helper()
 	side.stop()
 	for {
-		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
+		if res, _ := doRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
 			return
 		}
 	}
@@ -25,7 +25,7 @@
 // and its connection then closed, and the sidecar must exit after the last one.
 func TestOpenConnectionsAreServedWhileDraining(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	address := strings.TrimPrefix(side.url, "http://")
 	idle := sendOnNewConn(t, address, rawRequest("before"))
 	idleReader := bufio.NewReader(idle)
@@ -37,10 +37,10 @@
 	const sentBefore = 40 // bytes of partialRequest that are sent before SIGTERM
 	partialRequest := rawRequest("crossing")
 	partial := sendOnNewConn(t, address, partialRequest[:sentBefore])
-	wait(t, "the first request", s.seen)
+	wait(t, "the first request", s.receivedRequests)
 	stopAndAwaitDrain(t, side)
 	select {
-	case err := <-side.ended:
+	case err := <-side.serveErr:
 		t.Fatalf("serve() = %v while connections are open, want it to wait for them", err)
 	default:
 	}
@@ -51,7 +51,7 @@
 			t.Errorf("%s connection: response %+v, error %v, want 200 and Connection: close", name, res, err)
 		}
 	}
-	if err := wait(t, "serve to return", side.ended); err != nil {
+	if err := wait(t, "serve to return", side.serveErr); err != nil {
 		t.Errorf("serve() = %v, want nil", err)
 	}
 }
@@ -60,10 +60,10 @@
 // get its response before SIGKILL may be sent. A request that arrives when SIGKILL may already be sent must
 // be rejected at once and never forwarded.
 func TestDrainDeadlineCapsRequestDeadlines(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	l := newTestLoop(t, s.address)
 	handler, address := serveClients(t, l)
-	handler.drainDeadline.Store(int64(l.clock.now() + generous/2))
+	handler.drainDeadline.Store(int64(l.clock.now() + testTimeout/2))
 	sendOnNewConn(t, address, rawRequest("in time"))
 	l.runNextEvent(t)
 	for _, r := range l.requests {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -37,8 +37,8 @@
 		return nil, fmt.Errorf("create the policy's balancer: %w", err)
 	}
 	s := &sidecar{cfg: cfg, loop: loop, ingress: newIngress(cfg, c, loop)}
-	s.discovery = newDiscoveryClient(cfg, loop.endpointsChanged, loop.endpointsFailed)
-	loop.watchEndpoints = s.discovery.poll
+	s.discovery = newDiscoveryClient(cfg, loop.handleEndpointUpdate, loop.handleDiscoveryFailure)
+	loop.watchEndpoints = s.discovery.requestPoll
 	if s.gossip, err = newGossipTransport(cfg); err != nil {
 		// Gossip only improves decisions: the sidecar can serve requests without it.
 		slog.Error("open gossip socket failed: serving without gossip", "error", err)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -11,17 +11,17 @@
 )
 
 // runningSidecar is a complete sidecar that serves on loopback.
-type running struct {
-	url   string
-	stop  func()     // cancels the context of serve, as SIGTERM does
-	ended chan error // receives the result of serve
+type runningSidecar struct {
+	url      string
+	stop     func()     // cancels the context of serve, as SIGTERM does
+	serveErr chan error // receives the result of serve
 }
 
 // startSidecar runs a sidecar until the test ends. The cached endpoint list and that of discovery both
 // contain servers at the given addresses.
-func start(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *running {
+func startSidecar(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *runningSidecar {
 	t.Helper()
-	list := listed(1, "ready", addresses...)
+	list := fullListResponse(1, "ready", addresses...)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" { // a call for changes: never answered, as there are none
 			<-r.Context().Done()
@@ -41,8 +41,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &running{url: "http://" + l.Addr().String(), stop: cancel, ended: make(chan error, 1)}
-	go func() { s.ended <- serve(ctx, cfg, l, nil) }()
+	s := &runningSidecar{url: "http://" + l.Addr().String(), stop: cancel, serveErr: make(chan error, 1)}
+	go func() { s.serveErr <- serve(ctx, cfg, l, nil) }()
 	t.Cleanup(func() {
 		cancel()
 		http.DefaultClient.CloseIdleConnections()
@@ -52,7 +52,7 @@
 
 // newRequest returns a valid request. Its class is the first segment of the path. headers holds alternating
 // names and values that replace the default headers; an empty value removes a header.
-func (s *running) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+func (s *runningSidecar) newRequest(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -75,9 +75,9 @@
 }
 
 // doRequest sends a request on a new connection and returns the response and its body.
-func do(t *testing.T, req *http.Request) (*http.Response, string) {
+func doRequest(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/testconfig_test.go
+++ b/internal/sidecar/testconfig_test.go
@@ -24,7 +24,7 @@
 
 // fullListResponse returns a response of discovery with a full list of servers at the given addresses, all in
 // the same lifecycle state. Their instance IDs are s-0, s-1 and so on.
-func listed(version int, lifecycle string, addresses ...string) string {
+func fullListResponse(version int, lifecycle string, addresses ...string) string {
 	var entries []string
 	for i, a := range addresses {
 		entries = append(entries, fmt.Sprintf(
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -118,7 +118,7 @@
 //
 // An attempt that is still dialing could otherwise be written long after the endpoint update. Such attempts
 // end as NotSent, so that package policy may choose another server.
-func (t *transport) stopUnwritten(to *endpoint) {
+func (t *transport) abandonUnwritten(to *endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for x, server := range t.unwritten {
--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -14,7 +14,7 @@
 // time set minIdle themselves.
 func newTestTransport(t *testing.T) *transport {
 	t.Helper()
-	tr := newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
+	tr := newTransport(testConfig(t, fullListResponse(1, "ready"), nil), newClock())
 	tr.minIdle = 0
 	return tr
 }
@@ -33,7 +33,7 @@
 // capacity for a second one, so that the test can detect it.
 func startAttempt(t *testing.T, tr *transport, to *endpoint, id string) (*exchange, <-chan attemptResult) {
 	t.Helper()
-	return startAttemptWithin(t, tr, to, id, generous)
+	return startAttemptWithin(t, tr, to, id, testTimeout)
 }
 
 func startAttemptWithin(t *testing.T, tr *transport, to *endpoint, id string, timeout time.Duration) (*exchange, <-chan attemptResult) {
@@ -69,20 +69,20 @@
 // package policy may send it again. http.Transport would resend it on its own, even a POST with an
 // Idempotency-Key.
 func TestRequestIsNotResentOnABrokenConnection(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
-		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
+	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
+		return r.Header.Get("X-Request-ID") == "1" && respondOK(c, "hi")
 	})
 	tr := newTestTransport(t)
-	attempt(t, tr, s.endpoint, "1", generous)
-	if got := attempt(t, tr, s.endpoint, "2", generous); got.result != policy.ConnectionLost {
+	attempt(t, tr, s.endpoint, "1", testTimeout)
+	if got := attempt(t, tr, s.endpoint, "2", testTimeout); got.result != policy.ConnectionLost {
 		t.Fatalf("result = %v, want %v", got.result, policy.ConnectionLost)
 	}
-	first, second := wait(t, "request 1", s.seen), wait(t, "request 2", s.seen)
-	if first.conn != second.conn {
-		t.Errorf("requests used connections %d and %d, want the same one", first.conn, second.conn)
+	first, second := wait(t, "request 1", s.receivedRequests), wait(t, "request 2", s.receivedRequests)
+	if first.connNumber != second.connNumber {
+		t.Errorf("requests used connections %d and %d, want the same one", first.connNumber, second.connNumber)
 	}
-	if len(s.seen) > 0 {
-		t.Errorf("server got %d more requests, want none", len(s.seen))
+	if len(s.receivedRequests) > 0 {
+		t.Errorf("server got %d more requests, want none", len(s.receivedRequests))
 	}
 }
 
@@ -95,24 +95,24 @@
 	address := l.Addr().String()
 	l.Close()
 	tr := newTestTransport(t)
-	expectResult(t, attempt(t, tr, &endpoint{address: address}, "1", generous), policy.ConnectFailed)
+	expectResult(t, attempt(t, tr, &endpoint{address: address}, "1", testTimeout), policy.ConnectFailed)
 	expectOpenConns(t, tr, 0)
 }
 
 // A machine that has crashed or is cut off from the network sends nothing. Only the timeout ends the attempt,
 // which must close its connection.
 func TestSilentServerTimesOut(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	tr := newTestTransport(t)
-	for timeout := 30 * time.Millisecond; timeout < generous; timeout *= 2 {
+	for timeout := 30 * time.Millisecond; timeout < testTimeout; timeout *= 2 {
 		got := attempt(t, tr, s.endpoint, "1", timeout)
 		expectOpenConns(t, tr, 0)
 		if got.result == policy.TimedOut {
-			wait(t, "the request", s.seen)
+			wait(t, "the request", s.receivedRequests)
 			return
 		}
 		// If the machine was too busy to send the request within the timeout, the request has not run.
-		if got.result != policy.ConnectFailed && got.result != policy.NotSent || len(s.seen) > 0 {
+		if got.result != policy.ConnectFailed && got.result != policy.NotSent || len(s.receivedRequests) > 0 {
 			t.Fatalf("result = %v, want %v", got.result, policy.TimedOut)
 		}
 	}
@@ -122,14 +122,14 @@
 // Cancelling an attempt must close its connection, which stops the server, and the attempt must still have
 // exactly one result.
 func TestCancelClosesTheConnection(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverRespond)
 	tr := newTestTransport(t)
 	x, done := startAttempt(t, tr, s.endpoint, "1")
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.receivedRequests)
 	x.cancel()
 	x.cancel()
 	expectResult(t, wait(t, "the result", done), policy.Cancelled)
-	wait(t, "the connection to close", s.closed)
+	wait(t, "the connection to close", s.closedConns)
 	if len(done) > 0 {
 		t.Errorf("%d more results, want none", len(done))
 	}
@@ -142,12 +142,12 @@
 func TestCancelBeforeWrite(t *testing.T) {
 	s := newStub(t, echo)
 	tr := newTestTransport(t)
-	attempt(t, tr, s.endpoint, "1", generous)
+	attempt(t, tr, s.endpoint, "1", testTimeout)
 	x := new(exchange)
 	x.cancel()
 	expectCancelled := func() {
 		t.Helper()
-		deadline := tr.clock.now() + generous
+		deadline := tr.clock.now() + testTimeout
 		_, result := tr.roundTrip(x, s.endpoint, newTestOutboundRequest("2"), deadlines{response: deadline, write: deadline})
 		if result != policy.Cancelled {
 			t.Errorf("result = %v, want %v", result, policy.Cancelled)
@@ -163,9 +163,9 @@
 	expectCancelled()
 	tr.closeIdle(s.endpoint)
 
-	attempt(t, tr, s.endpoint, "3", generous)
-	wait(t, "request 1", s.seen)
-	if next := wait(t, "request 3", s.seen); next.Header.Get("X-Request-ID") != "3" {
+	attempt(t, tr, s.endpoint, "3", testTimeout)
+	wait(t, "request 1", s.receivedRequests)
+	if next := wait(t, "request 3", s.receivedRequests); next.Header.Get("X-Request-ID") != "3" {
 		t.Error("cancelled request was written")
 	}
 }
@@ -173,16 +173,16 @@
 // A server must get the request unchanged, except that its timeout is the time that remains of the client's.
 func TestForwardedRequest(t *testing.T) {
 	s := newStub(t, echo)
-	attempt(t, newTestTransport(t), s.endpoint, "7", generous)
-	r := wait(t, "the request", s.seen)
+	attempt(t, newTestTransport(t), s.endpoint, "7", testTimeout)
+	r := wait(t, "the request", s.receivedRequests)
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" {
 		t.Errorf("server got %s %s with body %q for host %s", r.Method, r.uri, r.body, r.Host)
 	}
 	if r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" {
 		t.Errorf("headers = %v, want the request id and the idempotency key", r.Header)
 	}
-	if remaining, ok := parseTimeout(r.Header.Get("X-Timeout")); !ok || remaining <= 0 || remaining > generous {
-		t.Errorf("headers = %v, want a timeout above 0 and at most %v", r.Header, generous)
+	if remaining, ok := parseTimeout(r.Header.Get("X-Timeout")); !ok || remaining <= 0 || remaining > testTimeout {
+		t.Errorf("headers = %v, want a timeout above 0 and at most %v", r.Header, testTimeout)
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	for status, healthy := range map[int]bool{http.StatusOK: true, http.StatusServiceUnavailable: false} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			s := newStub(t, func(c net.Conn, r received) bool {
+			s := newStub(t, func(c net.Conn, r receivedRequest) bool {
 				report := "TEXT inflight=7, busy_reqs=7, served_ps=2.5, svc_ms=40, failed_ps=oops"
 				if r.uri != "/metrics/load" {
 					report = ""
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -26,10 +26,10 @@
 	quota     float64       // requests per second over all tenants and balancers; 0: unknown
 	objective meanObjective // mean over all classes
 	timerAt   time.Duration // time of the next pending timer; 0: none
-	count     Counters
+	counters  Counters
 
 	requests      map[RequestID]*request // open requests, and closed ones with attempts in flight
-	open          []*request             // requests in order of arrival; TimerFired removes closed ones
+	openRequests  []*request             // requests in order of arrival; TimerFired removes closed ones
 	inFlight      int                    // attempts of this balancer in flight
 	meanLatency   time.Duration          // of successful attempts over all classes
 	fleetInFlight float64                // attempts in flight expected over all balancers: see sizeBulkheads
@@ -65,8 +65,8 @@
 		requests:    make(map[RequestID]*request),
 		ordering:    keyOrdering{delay: cfg.OrderingDelay, queues: make(map[uint64]*keyQueue)},
 		retryBudget: retryBudget{RetryBudget: cfg.RetryBudget},
-		subset:      subset{turnInterval: turnInterval.Seconds()},
-		bulkheads:   bulkheads{all: make([]bulkhead, len(cfg.tenants()))},
+		subset:      subset{pickInterval: pickInterval.Seconds()},
+		bulkheads:   bulkheads{byTenant: make([]bulkhead, len(cfg.tenants()))},
 	}
 	for _, t := range cfg.tenants() {
 		b.quota += t.Quota
@@ -75,7 +75,7 @@
 	b.admission = newAdmission(cfg.Classes, b.objective)
 	b.gossip = newGossip(cfg, b.objective)
 	b.sizeBulkheads()
-	b.traffic.perSecond = cfg.evenPart(b.quota)
+	b.traffic.perSecond = cfg.evenShare(b.quota)
 	return b, nil
 }
 
@@ -112,29 +112,29 @@
 	}
 	b.retryBudget.recordRequest(now)
 	if !b.validRequest(&req) {
-		b.count.Rejected++
+		b.counters.Rejected++
 		b.host.Reject(req.ID, 0)
 		return
 	}
 	r := b.newRequest(now, req)
 	b.setTimer(now, activeTimerInterval)
 	b.traffic.observe(now)
-	if b.subset.outgrown(b.traffic.perSecond) {
+	if b.subset.needsResize(b.traffic.perSecond) {
 		b.selectSubset(now)
 	}
 	late := now > r.latestStart() // late requests bypass admission: see dispatchLate
 	if !late && !b.admit(now, r) {
 		b.admission.recordOffered(r.class)
-		b.count.Shed++
+		b.counters.Shed++
 		b.rejectOrFail(now, r)
 		return
 	}
-	b.place(now, r)
+	b.dispatchOrQueue(now, r)
 }
 
 // dispatchOrQueue dispatches an admitted request, has it wait for a load report or in its queue, or
 // rejects it.
-func (b *Balancer) place(now time.Duration, r *request) {
+func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
 	if b.awaitReport(now, r) {
 		return
 	}
@@ -153,7 +153,7 @@
 func (b *Balancer) dispatchLate(now time.Duration, r *request) {
 	r.attemptDeadline = r.deadline
 	if b.congested(now) || !b.dispatch(now, r) {
-		b.count.LateRejected++
+		b.counters.LateRejected++
 		b.rejectOrFail(now, r)
 	}
 }
@@ -232,11 +232,11 @@
 	}
 	b.repeatCloseIdle(now)
 	b.serveQueues(now)
-	for _, r := range b.open {
+	for _, r := range b.openRequests {
 		b.expireReport(now, r)
 		b.expireRequest(now, r)
 	}
-	b.open = slices.DeleteFunc(b.open, func(r *request) bool { return r.closed })
+	b.openRequests = slices.DeleteFunc(b.openRequests, func(r *request) bool { return r.closed })
 	b.timerAt = 0
 	b.sampleReports(now)
 	b.broadcast(now)
@@ -258,7 +258,7 @@
 
 // setNextTimer sets the timer that is needed even if no other event occurs.
 func (b *Balancer) setNextTimer(now time.Duration) {
-	if len(b.open) > 0 {
+	if len(b.openRequests) > 0 {
 		b.setTimer(now, activeTimerInterval)
 	}
 	b.setTimer(now, idleTimerInterval)
@@ -276,16 +276,16 @@
 }
 
 // Counters returns the counters since the Balancer was made.
-func (b *Balancer) Counters() Counters { return b.count }
+func (b *Balancer) Counters() Counters { return b.counters }
 
 // FreeSlots returns the number of free slots in a tenant's bulkhead.
 func (b *Balancer) FreeSlots(tenant int) int {
-	h := &b.bulkheads.all[tenant]
-	return h.slots - h.used
+	h := &b.bulkheads.byTenant[tenant]
+	return h.slots - h.slotsInUse
 }
 
 // FreeQueue returns the number of free places in the queue of a tenant's bulkhead.
 func (b *Balancer) FreeQueue(tenant int) int {
-	h := &b.bulkheads.all[tenant]
+	h := &b.bulkheads.byTenant[tenant]
 	return h.queueCapacity - len(h.queue)
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -95,8 +95,8 @@
 	b.TimerFired(time.Hour)
 	// Some requests remain: their second attempt is sent after a wait, later than the outcome that the test
 	// reports for it.
-	if len(b.requests) > 20 || len(b.open) > 3 || len(b.endpoints.all) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 20 || len(b.openRequests) > 3 || len(b.endpoints.all) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("%d requests, %d open (capacity %d), %d endpoints; want at most 20, 3 (100), and 2",
-			len(b.requests), len(b.open), cap(b.open), len(b.endpoints.all))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.endpoints.all))
 	}
 }
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -32,7 +32,7 @@
 // exhausted its own slots cannot use those of another.
 type bulkhead struct {
 	slots         int // limit on concurrent attempts
-	used          int // attempts in flight
+	slotsInUse    int // attempts in flight
 	queueCapacity int // at least 1; retries may exceed it
 	queue         []*request
 }
@@ -45,7 +45,7 @@
 }
 
 // full reports whether all slots are in use.
-func (h *bulkhead) full() bool { return h.used >= h.slots }
+func (h *bulkhead) full() bool { return h.slotsInUse >= h.slots }
 
 // evictionCandidate returns the request that has to be rejected before r can be queued: nil if the
 // queue has capacity, the last queued request if r has a higher priority, and otherwise r itself.
@@ -94,7 +94,7 @@
 
 // bulkheads holds the bulkheads of all tenants.
 type bulkheads struct {
-	all             []bulkhead // by tenant
+	byTenant        []bulkhead // by tenant
 	slots           int        // over all bulkheads
 	roundRobinStart int        // bulkhead that was served first in the latest round
 }
@@ -108,8 +108,8 @@
 	}
 	h.slots = 0
 	for i, t := range tenants {
-		h.all[i].resize(total*t.Weight/weightSum, deviations)
-		h.slots += h.all[i].slots
+		h.byTenant[i].resize(total*t.Weight/weightSum, deviations)
+		h.slots += h.byTenant[i].slots
 	}
 }
 
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	b.count.Queued++
+	b.counters.Queued++
 	r.bulkhead.push(r)
 }
 
@@ -147,11 +147,11 @@
 // bulkheads first, and the bulkheads in round-robin order among equal priorities.
 func (b *Balancer) serveQueues(now time.Duration) {
 	h := &b.bulkheads
-	h.roundRobinStart = (h.roundRobinStart + 1) % len(h.all)
+	h.roundRobinStart = (h.roundRobinStart + 1) % len(h.byTenant)
 	for priority := math.Inf(1); priority >= 0; {
 		nextPriority := noPriority
-		for i := range h.all {
-			current := &h.all[(h.roundRobinStart+i)%len(h.all)]
+		for i := range h.byTenant {
+			current := &h.byTenant[(h.roundRobinStart+i)%len(h.byTenant)]
 			nextPriority = max(nextPriority, b.serveQueue(now, current, priority))
 		}
 		priority = nextPriority
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -62,8 +62,8 @@
 		cfg.Slots, cfg.Tenants, cfg.Balancers = 0, nil, 4
 		b, h := start(t, cfg, ready(1, 2))
 		b.Request(0, Request{ID: 1, Tenant: 5, Timeout: time.Second})
-		if len(b.bulkheads.all) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
-			t.Fatalf("%d bulkheads, %d slots, %d sends; want 1, 7 and 1", len(b.bulkheads.all), b.bulkheads.slots, len(h.sends))
+		if len(b.bulkheads.byTenant) != 1 || b.bulkheads.slots != 7 || len(h.sends) != 1 {
+			t.Fatalf("%d bulkheads, %d slots, %d sends; want 1, 7 and 1", len(b.bulkheads.byTenant), b.bulkheads.slots, len(h.sends))
 		}
 	})
 }
@@ -75,7 +75,7 @@
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].PriorityWeight = 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.bulkheads.all[0].slots, b.bulkheads.all[0].queueCapacity = 1, 2
+	b.bulkheads.byTenant[0].slots, b.bulkheads.byTenant[0].queueCapacity = 1, 2
 	submit(b, 0, 1, 0) // occupies the slot
 	submit(b, 0, 2, 0)
 	submit(b, 0, 3, 0) // fills the queue
@@ -159,17 +159,17 @@
 }
 
 func TestBulkheadsResizeByWeight(t *testing.T) {
-	h := bulkheads{all: make([]bulkhead, 3), slots: 99}
+	h := bulkheads{byTenant: make([]bulkhead, 3), slots: 99}
 	h.resize([]Tenant{{Weight: 6}, {Weight: 3}, {Weight: 1}}, 40, 0)
-	if h.all[0].slots != 24 || h.all[1].slots != 12 || h.all[2].slots != 4 || h.slots != 40 {
-		t.Errorf("slots = %d, %d and %d, in total %d; want 24, 12 and 4, in total 40", h.all[0].slots, h.all[1].slots, h.all[2].slots, h.slots)
+	if h.byTenant[0].slots != 24 || h.byTenant[1].slots != 12 || h.byTenant[2].slots != 4 || h.slots != 40 {
+		t.Errorf("slots = %d, %d and %d, in total %d; want 24, 12 and 4, in total 40", h.byTenant[0].slots, h.byTenant[1].slots, h.byTenant[2].slots, h.slots)
 	}
 }
 
 func TestBulkheadFull(t *testing.T) {
 	for used, want := range []bool{false, false, true, true} {
 		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
-			h := bulkhead{slots: 2, used: used}
+			h := bulkhead{slots: 2, slotsInUse: used}
 			if got := h.full(); got != want {
 				t.Errorf("full = %v, want %v", got, want)
 			}
@@ -287,7 +287,7 @@
 				c.endpoints[i].Cell = i // every endpoint in a cell of its own
 			}
 			b, h := start(t, cfg, c.endpoints)
-			b.bulkheads.all[0].slots = 1
+			b.bulkheads.byTenant[0].slots = 1
 			submit(b, 0, 1, low)
 			submit(b, 0, 2, high) // waits for the slot
 			finish(b, 10*ms, 1, 0, ConnectionLost)
@@ -305,7 +305,7 @@
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].PriorityWeight = 8
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.bulkheads.all[0].slots = 1
+	b.bulkheads.byTenant[0].slots = 1
 	submit(b, 0, 1, 0)
 	submit(b, 0, 2, 1) // waits for the slot
 	b.endpoints.find(1).State, b.endpoints.find(2).State = Draining, Draining
--- a/policy/clientretry_test.go
+++ b/policy/clientretry_test.go
@@ -55,7 +55,7 @@
 	b.admission.demand[idempotentClass] = before
 	for id := range RequestID(50) {
 		b.clientRetries.unserved = append(b.clientRetries.unserved,
-			unservedRequest{&b.classes[idempotentClass], &b.bulkheads.all[0], 7, 0, 2 * time.Second})
+			unservedRequest{&b.classes[idempotentClass], &b.bulkheads.byTenant[0], 7, 0, 2 * time.Second})
 		b.Request(2*time.Second, Request{ID: id, Class: idempotentClass, Key: 7, Timeout: 2 * time.Second, ClientRetry: true})
 	}
 	if c := b.Counters(); c.LateRejected != 50 || c.Shed != 0 || len(h.rejected) != 50 {
--- a/policy/config.go
+++ b/policy/config.go
@@ -221,4 +221,4 @@
 }
 
 // evenShare returns the share of each balancer if a fleet-wide total is divided evenly.
-func (c *Config) evenPart(total float64) float64 { return total / float64(c.Balancers) }
+func (c *Config) evenShare(total float64) float64 { return total / float64(c.Balancers) }
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	if float64(b.inFlight) >= b.concurrencyLimit(now) {
-		b.count.ConcurrencyLimited++
+		b.counters.ConcurrencyLimited++
 		return false
 	}
 	e := b.pick(now, r)
@@ -52,11 +52,11 @@
 	r.attempts = append(r.attempts, attempt{endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: now})
 	b.attemptStarted(r, e)
 	if len(r.attempts) > 1 {
-		b.count.Retries++
+		b.counters.Retries++
 		b.retryBudget.recordRetry(now)
 	}
 	if b.crossesZone(e) {
-		b.count.CrossZoneSends++
+		b.counters.CrossZoneSends++
 	}
 	b.host.Send(r.id, e.ID, r.attemptDeadline-now, r.dedupRemaining())
 	return true
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -181,9 +181,9 @@
 // ReceiveGossip processes a message of the balancer with the index from.
 func (b *Balancer) ReceiveGossip(now time.Duration, from int, m GossipMessage) {
 	if b.gossip.accept(now, from, m) {
-		b.count.GossipReceived++
+		b.counters.GossipReceived++
 	} else {
-		b.count.GossipDropped++
+		b.counters.GossipDropped++
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 	g.nextBroadcast = now + b.objective.times(broadcastInterval*(0.75+0.5*b.rng.Float64()))
 	if m, ok := g.nextMessage(now, b.traffic.current(now)); ok {
-		b.count.GossipSent++
+		b.counters.GossipSent++
 		b.host.Broadcast(m)
 	}
 }
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -146,10 +146,10 @@
 	} else if b.sampler.fresh() {
 		e.markReportMissing(now)
 	}
-	for _, r := range b.open {
+	for _, r := range b.openRequests {
 		if r.awaitedReport == e && !r.closed {
 			r.awaitedReport = nil
-			b.place(now, r)
+			b.dispatchOrQueue(now, r)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		return
 	}
 	if b.sampler.recordComparison(usable && report != e.report) {
-		b.subset.turnInterval *= freshSubsetFactor
+		b.subset.pickInterval *= freshSubsetFactor
 	}
 }
 
@@ -179,7 +179,7 @@
 	}
 	r.awaitedReport.markReportMissing(now)
 	r.awaitedReport = nil
-	b.place(now, r)
+	b.dispatchOrQueue(now, r)
 }
 
 // fullByReport reports whether an endpoint is full: by its latest load report, it
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -58,7 +58,7 @@
 // only in the zone or cell of the first attempt.
 func (b *Balancer) pick(now time.Duration, r *request) *endpoint {
 	chosen, diverted := b.nextAvailable(now, r, b.subset.endpoints)
-	if chosen == nil && r.firstEffective() != nil {
+	if chosen == nil && r.firstThatMayHaveRun() != nil {
 		chosen, diverted = b.nextAvailable(now, r, b.endpoints.all)
 	}
 	if chosen == nil {
@@ -67,9 +67,9 @@
 	b.picker.advance(chosen, b.stride(now, chosen))
 	switch {
 	case diverted:
-		b.count.DivertedSends++
+		b.counters.DivertedSends++
 	case len(r.attempts) == 0:
-		b.count.RoundRobinSends++
+		b.counters.RoundRobinSends++
 	}
 	return chosen
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -99,7 +99,7 @@
 }
 
 // firstThatMayHaveRun returns the first attempt that may have run or may still be running, or nil.
-func (r *request) firstEffective() *attempt {
+func (r *request) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].state != attemptNeverRan {
 			return &r.attempts[i]
@@ -137,7 +137,7 @@
 		req.Tenant = 0
 	}
 	classKnown := req.Class >= 0 && req.Class < len(b.classes)
-	tenantKnown := req.Tenant >= 0 && req.Tenant < len(b.bulkheads.all)
+	tenantKnown := req.Tenant >= 0 && req.Tenant < len(b.bulkheads.byTenant)
 	return classKnown && tenantKnown && req.Timeout > 0
 }
 
@@ -146,7 +146,7 @@
 	r := &request{
 		id:         req.ID,
 		class:      &b.classes[req.Class],
-		bulkhead:   &b.bulkheads.all[req.Tenant],
+		bulkhead:   &b.bulkheads.byTenant[req.Tenant],
 		key:        req.Key,
 		firstTryAt: now,
 		deadline:   now + min(req.Timeout, maxRequestTimeout),
@@ -161,7 +161,7 @@
 		b.ordering.join(now, r, len(b.requests))
 	}
 	b.requests[r.id] = r
-	b.open = append(b.open, r)
+	b.openRequests = append(b.openRequests, r)
 	return r
 }
 
@@ -199,7 +199,7 @@
 func (b *Balancer) addInFlight(r *request, e *endpoint, delta int) {
 	r.inFlight += delta
 	e.inFlight += delta
-	r.bulkhead.used += delta
+	r.bulkhead.slotsInUse += delta
 	b.inFlight += delta
 }
 
@@ -211,10 +211,10 @@
 		return
 	}
 	if r.clientMayRetry() {
-		b.count.Rejected++
+		b.counters.Rejected++
 		b.host.Reject(r.id, b.retryAfter())
 	} else {
-		b.count.Failed++
+		b.counters.Failed++
 		b.host.Fail(r.id)
 	}
 	if b.cfg.ClientsMarkRetries && r.key != 0 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -55,7 +55,7 @@
 // mayRetry reports whether the class allows an attempt at some endpoint now. As long as no attempt
 // may have run, it does.
 func (r *request) mayRetry(now time.Duration) bool {
-	first := r.firstEffective()
+	first := r.firstThatMayHaveRun()
 	switch {
 	case first == nil || r.class.Idempotency == Idempotent:
 		return true
@@ -71,7 +71,7 @@
 	if !r.mayRetry(now) {
 		return false
 	}
-	first := r.firstEffective()
+	first := r.firstThatMayHaveRun()
 	if first == nil || r.class.Idempotency == Idempotent || r.class.DedupScope == DedupEverywhere {
 		return true
 	}
@@ -85,7 +85,7 @@
 // of an earlier one that may have run. It returns 0 if there is no such earlier attempt, or if a
 // duplicate is harmless.
 func (r *request) dedupRemaining() time.Duration {
-	first, latest := r.firstEffective(), &r.attempts[len(r.attempts)-1]
+	first, latest := r.firstThatMayHaveRun(), &r.attempts[len(r.attempts)-1]
 	if first == latest || r.class.Idempotency != IdempotentByKey {
 		return 0
 	}
@@ -96,7 +96,7 @@
 // or every endpoint drops or tolerates a duplicate.
 func (r *request) clientMayRetry() bool {
 	switch {
-	case r.firstEffective() == nil || r.class.Idempotency == Idempotent:
+	case r.firstThatMayHaveRun() == nil || r.class.Idempotency == Idempotent:
 		return true
 	case r.class.Idempotency == IdempotentByKey:
 		return r.class.DedupScope == DedupEverywhere
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -265,9 +265,9 @@
 		byTenant[r.Tenant] += r.inFlight()
 		total += r.inFlight()
 	}
-	for i, h := range c.b.bulkheads.all {
-		if h.used != byTenant[i] || h.used > h.slots || c.b.FreeSlots(i) < 0 {
-			c.t.Fatalf("bulkhead %d: %d of %d slots used, %d attempts in flight", i, h.used, h.slots, byTenant[i])
+	for i, h := range c.b.bulkheads.byTenant {
+		if h.slotsInUse != byTenant[i] || h.slotsInUse > h.slots || c.b.FreeSlots(i) < 0 {
+			c.t.Fatalf("bulkhead %d: %d of %d slots used, %d attempts in flight", i, h.slotsInUse, h.slots, byTenant[i])
 		}
 	}
 	if c.b.inFlight != total {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,7 +7,7 @@
 
 const (
 	// pickInterval is how often each endpoint of the subset is to be picked.
-	turnInterval = 1 * time.Second
+	pickInterval = 1 * time.Second
 
 	minSubsetSize = 4.0 // endpoints
 
@@ -31,16 +31,16 @@
 	endpoints    []*endpoint
 	weight       float64 // total weight of the endpoints
 	size         float64 // wanted number of endpoints
-	turnInterval float64 // intended time between two picks of an endpoint, in seconds
+	pickInterval float64 // intended time between two picks of an endpoint, in seconds
 }
 
 // sizeFor returns the wanted size at a request rate.
 func (s *subset) sizeFor(requestsPerSecond float64) float64 {
-	return max(minSubsetSize, requestsPerSecond*s.turnInterval)
+	return max(minSubsetSize, requestsPerSecond*s.pickInterval)
 }
 
 // needsResize reports whether the size no longer fits the request rate.
-func (s *subset) outgrown(requestsPerSecond float64) bool {
+func (s *subset) needsResize(requestsPerSecond float64) bool {
 	size := s.sizeFor(requestsPerSecond)
 	return size > (1+resizeTolerance)*s.size || size < (1-resizeTolerance)*s.size
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -88,11 +88,11 @@
 		{"minimum size", 0.1, 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := subset{turnInterval: 2, size: 8}
+			s := subset{pickInterval: 2, size: 8}
 			if got := s.sizeFor(c.rate); math.Abs(got-c.size) > 1e-9 {
 				t.Errorf("sizeFor = %v, want %v", got, c.size)
 			}
-			if got := s.outgrown(c.rate); got != c.needsResize {
+			if got := s.needsResize(c.rate); got != c.needsResize {
 				t.Errorf("needsResize = %v, want %v", got, c.needsResize)
 			}
 		})
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -93,7 +93,7 @@
 	b.sizeBulkheads()
 	if before == 0 {
 		// At this request rate, the subset includes all endpoints.
-		b.traffic.assume(now, float64(b.endpoints.maxReady)/b.subset.turnInterval)
+		b.traffic.assume(now, float64(b.endpoints.maxReady)/b.subset.pickInterval)
 	}
 }
 
