--- a/internal/fleetsim/attempt.go
+++ b/internal/fleetsim/attempt.go
@@ -6,15 +6,15 @@
 	"cranehatch/policy"
 )
 
-// attempt is one attempt of a request at a server.
+// attempt is an attempt of a request at a server.
 type attempt struct {
 	server  *simServer
 	request *request
-	index   int  // in the request's attempts
-	ended   bool // for the sidecar
+	index   int  // in request.attempts
+	ended   bool // whether the sidecar has recorded its result
 }
 
-// Send starts an attempt.
+// Send starts an attempt of a request.
 func (s *simSidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
 	r, sim := s.lookup(id), s.sim
 	if r == nil {
@@ -31,14 +31,15 @@
 	sim.network.sendOnce(s.zone, server.zone, func() { server.receive(a) })
 }
 
-// Cancel cancels an attempt. If it is executing at the server, it is executed to its end.
-func (s *simSidecar) Cancel(id policy.RequestID, n int) {
+// Cancel cancels an attempt. If the server is already executing it, the execution runs to completion.
+func (s *simSidecar) Cancel(id policy.RequestID, attempt int) {
 	if r := s.lookup(id); r != nil {
-		s.sim.clock.after(0, func() { s.endAttempt(r.attempts[n], policy.Cancelled) })
+		s.sim.clock.after(0, func() { s.endAttempt(r.attempts[attempt], policy.Cancelled) })
 	}
 }
 
-// endAttempt reports to the Balancer how an attempt ended, once.
+// endAttempt records the result of an attempt and reports it to the Balancer. Further results of the same
+// attempt are ignored.
 func (s *simSidecar) endAttempt(a *attempt, result policy.Result) {
 	sim, r := s.sim, a.request
 	if a.ended || s.incarnation != r.incarnation {
@@ -54,13 +55,13 @@
 	r.inFlight--
 	sim.addToDigest(digestAttemptEnd+digestEvent(result), s.index, uint64(r.id))
 	answered := r.done
-	started := s.startCPU()
+	started := s.startCPUTimer()
 	s.balancer.Outcome(sim.clock.now, policy.Outcome{RequestID: r.id, Attempt: a.index, Result: result, Answered: answered})
-	s.chargeRequest(started)
+	s.addRequestCPU(started)
 	s.removeIfEnded(r)
 }
 
-// answerClient passes the response of a server to the client, unless the request has ended.
+// answerClient passes the response of a server to the client, unless the request already has a response.
 func (s *simSidecar) answerClient(r *request) {
 	if r.done {
 		return
--- a/internal/fleetsim/clock.go
+++ b/internal/fleetsim/clock.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// event is something that happens at a time of the fake clock: a function call, or the arrival of a datagram.
+// event is a scheduled event on the fake clock: a function call or the arrival of a datagram.
 type event struct {
 	at  time.Duration
-	seq uint64 // orders events of the same time by when they were scheduled
+	seq uint64 // orders events with the same time by when they were scheduled
 	run func() // nil for the arrival of a datagram
 
-	// One event covers all recipients at which a datagram arrives at the same time, as datagrams outnumber all
-	// other events.
+	// A datagram that arrives at several recipients at the same time is a single event, because datagrams
+	// outnumber all other events.
 	recipients []*simSidecar
 	sender     int
 	datagram   []byte
 }
 
-// before reports whether the event happens before another one.
+// before reports whether the event comes before another one.
 func (e *event) before(other *event) bool {
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-// fire makes the event happen.
+// fire executes the event.
 func (e *event) fire() {
 	if e.run != nil {
 		e.run()
@@ -31,17 +31,17 @@
 	}
 }
 
-// clock is a fake clock with the scheduled events as a binary heap.
+// clock is a fake clock that keeps the scheduled events in a binary heap.
 type clock struct {
 	now  time.Duration
 	seq  uint64
 	heap []event
 }
 
-// after schedules a function call in d from now.
+// after schedules a function call after the duration d.
 func (c *clock) after(d time.Duration, run func()) { c.push(event{at: c.now + d, run: run}) }
 
-// hasEventUntil reports whether an event is scheduled at or before a time.
+// hasEventUntil reports whether an event is scheduled for the given time or earlier.
 func (c *clock) hasEventUntil(end time.Duration) bool { return len(c.heap) > 0 && c.heap[0].at <= end }
 
 // push schedules an event and sets its sequence number.
@@ -61,11 +61,11 @@
 	c.heap[i] = e
 }
 
-// pop removes the first event; there must be one.
+// pop removes and returns the earliest event. The heap must not be empty.
 func (c *clock) pop() event {
 	first, last := c.heap[0], len(c.heap)-1
 	moved := c.heap[last]
-	c.heap[last] = event{} // releases what it refers to
+	c.heap[last] = event{} // release its references to the garbage collector
 	c.heap = c.heap[:last]
 	if last > 0 {
 		c.siftDown(moved)
@@ -73,7 +73,7 @@
 	return first
 }
 
-// siftDown places an event from the root of the heap downwards.
+// siftDown places an event in the heap, starting at the vacant root.
 func (c *clock) siftDown(e event) {
 	i, size := 0, len(c.heap)
 	for {
--- a/internal/fleetsim/counts.go
+++ b/internal/fleetsim/counts.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Counts is what was counted over all sidecars, servers and discovery of one simulation. A sidecar's own traffic
-// is the sum of Gossip, EndpointLists and Attempts.
+// Counts holds the counts over all sidecars, servers and discovery of a simulation. The total traffic of the
+// sidecars is the sum of Gossip, EndpointLists and Attempts.
 type Counts struct {
-	Gossip         TrafficCounts // datagrams between sidecars; one sent goes to all the others
-	DatagramsLost  int64
-	EndpointLists  TrafficCounts // calls of discovery and their responses, as sidecars see them
-	EntriesRead    int64         // endpoint list entries that sidecars read
-	Attempts       TrafficCounts // attempts and their responses, as sidecars see them
-	ServerAttempts TrafficCounts // the same, as servers see them
+	Gossip         TrafficCounts // datagrams between sidecars; a broadcast counts as one sent datagram
+	DatagramsLost  int64         // lost by the network, counted per recipient
+	EndpointLists  TrafficCounts // calls to discovery and their responses, counted by sidecars
+	EntriesRead    int64         // endpoint list entries that sidecars have read
+	Attempts       TrafficCounts // attempts and their responses, counted by sidecars
+	ServerAttempts TrafficCounts // attempts and their responses, counted by servers
 
 	Discovery DiscoveryCounts
 
-	// Client requests over all classes, as in ClassCounts.
+	// Client requests over all classes, by how they ended as in ClassCounts.
 	Requests, WithinObjective, ObjectiveMissed, Rejected, Failed int64
 
-	// Processor time, if Config.MeasureCPU is set. It differs from run to run.
+	// CPU time of Balancers, if Config.MeasureCPU is set. It differs from run to run.
 	RequestCPU       time.Duration // in Request and Outcome
-	ControlCPU       time.Duration // in ReceiveGossip, TimerFired and UpdateEndpoints, and in decoding their arguments
-	BalancerRequests int64         // requests handed to Balancers, retries of clients included
+	ControlCPU       time.Duration // in ReceiveGossip, TimerFired and UpdateEndpoints, with decoding
+	BalancerRequests int64         // requests passed to Balancers, including client retries
 
-	// The same for the first Config.HighRateSidecars sidecars only.
+	// The CPU time and requests of the first Config.HighRateSidecars sidecars only.
 	HighRateRequestCPU, HighRateControlCPU time.Duration
 	HighRateBalancerRequests               int64
 }
 
-// DiscoveryCounts is what discovery did.
+// DiscoveryCounts counts the calls that the discovery service handled.
 type DiscoveryCounts struct {
 	TrafficCounts
-	Processed      int64         // calls, and watches that a change answered
-	EntriesWritten int64         // in responses
-	ProcessingTime time.Duration // of these calls
-	MaxQueueWait   time.Duration // of one call
-	TimedOut       int64         // calls that waited in the queue for too long
-	Changes        int64         // of the endpoint list
+	Processed      int64         // calls; a watch counts again when a change answers it
+	EntriesWritten int64         // entries in responses
+	ProcessingTime time.Duration // total over the processed calls
+	MaxQueueWait   time.Duration // longest time in the queue of a processed call
+	TimedOut       int64         // calls that waited in the queue for longer than QueueTimeout
+	Changes        int64         // changes of the endpoint list
 }
 
-// ClassCounts counts the client requests of one class by how they ended. A request that was sent again by its
-// client counts once.
+// ClassCounts counts the client requests of one class by how they ended. A request and its client retries
+// count as one.
 type ClassCounts struct {
 	Requests        int
 	WithinObjective int // answered within the latency objective
-	ObjectiveMissed int // answered after it
-	Rejected        int // shed, and not retried by the client any more
+	ObjectiveMissed int // answered after the latency objective
+	Rejected        int // shed, with no client retry after it
 	Failed          int
 }
 
@@ -70,6 +70,7 @@
 	c.HighRateBalancerRequests += other.HighRateBalancerRequests
 }
 
+// merge adds other counts, except for MaxQueueWait, of which it keeps the maximum.
 func (d *DiscoveryCounts) merge(other *DiscoveryCounts) {
 	d.TrafficCounts.merge(other.TrafficCounts)
 	d.Processed += other.Processed
@@ -80,18 +81,19 @@
 	d.Changes += other.Changes
 }
 
-// WithoutCPUTime returns the counts without processor times, which are the same for the same seed.
+// WithoutCPUTime returns the counts without CPU times. The remaining counts are the same for the same seed.
 func (c Counts) WithoutCPUTime() Counts {
 	c.RequestCPU, c.ControlCPU, c.HighRateRequestCPU, c.HighRateControlCPU = 0, 0, 0, 0
 	return c
 }
 
-// countRequest, countAnswered, countRejected and countFailed count a client request, by class and overall.
+// countRequest counts a client request, by class and in total.
 func (sim *Simulation) countRequest(class int) {
 	sim.classCounts[class].Requests++
 	sim.counts.Requests++
 }
 
+// countAnswered counts a client request that was answered after the given latency.
 func (sim *Simulation) countAnswered(class int, latency time.Duration) {
 	if latency <= sim.config.Policy.Classes[class].LatencyObjective {
 		sim.classCounts[class].WithinObjective++
@@ -102,11 +104,13 @@
 	sim.counts.ObjectiveMissed++
 }
 
+// countRejected counts a client request that was rejected and is not retried.
 func (sim *Simulation) countRejected(class int) {
 	sim.classCounts[class].Rejected++
 	sim.counts.Rejected++
 }
 
+// countFailed counts a client request that failed.
 func (sim *Simulation) countFailed(class int) {
 	sim.classCounts[class].Failed++
 	sim.counts.Failed++
--- a/internal/fleetsim/digest.go
+++ b/internal/fleetsim/digest.go
@@ -1,6 +1,6 @@
 package fleetsim
 
-// digestEvent numbers an event in Simulation.Digest.
+// digestEvent is the number of a kind of event in Simulation.Digest.
 type digestEvent uint64
 
 const (
@@ -15,7 +15,8 @@
 // digestPrime is the prime of the 64-bit FNV hash.
 const digestPrime = 0x100000001b3
 
-// addToDigest adds an event of a sidecar and the request, server or list version that it is about.
+// addToDigest adds an event of a sidecar to the digest. The subject is the request, the server or the list
+// version that the event is about.
 func (sim *Simulation) addToDigest(event digestEvent, sidecar int, subject uint64) {
 	for _, x := range [...]uint64{uint64(sim.clock.now), uint64(event), uint64(sidecar), subject} {
 		sim.digest = (sim.digest ^ x) * digestPrime
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -10,52 +10,53 @@
 	"cranehatch/policy"
 )
 
-// noVersion is the version of an endpoint list that is not there. A call with it gets the complete list.
+// noVersion is the version of a caller that has no endpoint list. A call with it gets the complete list.
 const noVersion = int64(-1)
 
-// cells is the number of cells that servers are assigned to, round robin.
-const cells = 4
+// cellCount is the number of cells, to which servers are assigned round robin.
+const cellCount = 4
 
-// serversPerSubnet is how many servers share the first three bytes of their IP address.
+// serversPerSubnet is the number of servers that share the first three bytes of their IP addresses.
 const serversPerSubnet = 250
 
 // errUnavailable is the result of a call that discovery fails.
-var errUnavailable = errors.New("discovery is unavailable")
+var errUnavailable = errors.New("discovery unavailable")
 
-// simDiscovery is the simulated discovery service, in zone 0. It has the endpoint list of the service, with all
-// changes, and processes calls one at a time.
+// simDiscovery is the simulated discovery service, in zone 0. It keeps the endpoint list of the service with
+// a log of all changes, and processes one call at a time.
 type simDiscovery struct {
 	sim    *Simulation
 	config DiscoveryConfig
 	down   bool
 
-	entries   []string // JSON, by server
-	states    []policy.EndpointState
-	changeLog []int                  // servers in the order of their changes: change v-1 makes version v
-	responses map[int64]listResponse // to the current list, by the version that the caller has
+	entries   []string               // JSON entry of each server
+	states    []policy.EndpointState // state of each server
+	changeLog []int                  // servers in the order of their changes: change v-1 creates version v
+	responses map[int64]listResponse // for the current list, by the version that the caller has
 
-	queue      []*listCall
-	processing bool        // a call is being processed
-	watches    []*listCall // calls that wait for a change
+	queue      []*listCall // calls to be processed
+	processing bool        // whether a call is being processed
+	watches    []*listCall // calls that are kept open until the list changes
 }
 
-// listCall is a call of a sidecar. It asks for what changed since a version, or for the complete list, and waits up
-// to maxWait for a change.
+// listCall is a call of a sidecar to discovery. It requests the changes since a version, or the complete
+// list, and waits up to maxWait for a change.
 type listCall struct {
-	zone     int
-	since    int64 // noVersion: the complete list
-	maxWait  time.Duration
-	queuedAt time.Duration
-	done     bool // answered or cancelled
-	respond  func(response listResponse, err error)
+	zone         int   // of the sidecar
+	sinceVersion int64 // noVersion requests the complete list
+	maxWait      time.Duration
+	queuedAt     time.Duration // when the call was last added to the queue
+	done         bool          // whether it was answered, timed out or was cancelled
+	respond      func(response listResponse, err error)
 }
 
-// listResponse is a response as it is sent.
+// listResponse is an encoded response.
 type listResponse struct {
 	body    []byte
-	entries int
+	entries int // number of endpoint list entries in body
 }
 
+// newDiscovery creates a discovery service that lists all servers as ready.
 func newDiscovery(sim *Simulation, config DiscoveryConfig) *simDiscovery {
 	d := &simDiscovery{sim: sim, config: config, responses: make(map[int64]listResponse)}
 	for i := range sim.servers {
@@ -67,9 +68,10 @@
 	return d
 }
 
+// zoneName returns the name of a zone in an endpoint list.
 func zoneName(zone int) string { return "z" + strconv.Itoa(zone) }
 
-// lifecycle is the name of a state in an endpoint list.
+// lifecycle returns the name of a state in an endpoint list.
 func lifecycle(state policy.EndpointState) string {
 	switch state {
 	case policy.Draining:
@@ -80,24 +82,24 @@
 	return "ready"
 }
 
-// updateEntry encodes the entry of a server anew.
-func (d *simDiscovery) updateEntry(i int) {
-	server := d.sim.servers[i]
-	d.entries[i] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
+// updateEntry encodes the current entry of a server.
+func (d *simDiscovery) updateEntry(serverIndex int) {
+	server := d.sim.servers[serverIndex]
+	d.entries[serverIndex] = fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.%d.%d.%d:8080","zone":%q,"machineType":"m1","cell":%d,`+
 		`"lifecycle":%q,"weight":1,"startedAtMs":%.3f}`,
-		server.name, server.zone, i/serversPerSubnet, 1+i%serversPerSubnet, zoneName(server.zone), i%cells,
-		lifecycle(d.states[i]), float64(server.startedAt.Microseconds())/1000)
+		server.name, server.zone, serverIndex/serversPerSubnet, 1+serverIndex%serversPerSubnet, zoneName(server.zone), serverIndex%cellCount,
+		lifecycle(d.states[serverIndex]), float64(server.startedAt.Microseconds())/1000)
 }
 
-// version is the current version of the list.
+// version returns the current version of the list.
 func (d *simDiscovery) version() int64 { return int64(len(d.changeLog)) }
 
-// setState changes the state of a server, and answers all watches.
-func (d *simDiscovery) setState(i int, state policy.EndpointState) {
-	server := d.sim.servers[i]
-	d.states[i] = state
-	d.changeLog = append(d.changeLog, i)
-	d.updateEntry(i)
+// setState changes the state of a server and queues all watches to be answered.
+func (d *simDiscovery) setState(serverIndex int, state policy.EndpointState) {
+	server := d.sim.servers[serverIndex]
+	d.states[serverIndex] = state
+	d.changeLog = append(d.changeLog, serverIndex)
+	d.updateEntry(serverIndex)
 	clear(d.responses)
 	d.sim.counts.Discovery.Changes++
 	if state == policy.Ready {
@@ -112,17 +114,17 @@
 	d.watches = d.watches[:0]
 }
 
-// response returns the response for a caller that has a version of the list.
-func (d *simDiscovery) response(since int64) listResponse {
-	if cached, ok := d.responses[since]; ok {
+// response returns the response to a caller that has the given version of the list.
+func (d *simDiscovery) response(callerVersion int64) listResponse {
+	if cached, ok := d.responses[callerVersion]; ok {
 		return cached
 	}
-	complete := since < 0 || since > d.version()
+	complete := callerVersion < 0 || callerVersion > d.version()
 	var servers []int
 	if complete {
-		servers = d.present()
+		servers = d.listedServers()
 	} else {
-		servers = d.changedSince(since)
+		servers = d.changedSince(callerVersion)
 	}
 	body := fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[`, d.version(), complete)
 	for n, i := range servers {
@@ -132,12 +134,12 @@
 		body = append(body, d.entries[i]...)
 	}
 	response := listResponse{append(body, "]}"...), len(servers)}
-	d.responses[since] = response
+	d.responses[callerVersion] = response
 	return response
 }
 
-// present returns the servers of the complete list, which omits those that are gone.
-func (d *simDiscovery) present() (servers []int) {
+// listedServers returns the servers in the complete list, which omits removed servers.
+func (d *simDiscovery) listedServers() (servers []int) {
 	for i, state := range d.states {
 		if state != policy.Removed {
 			servers = append(servers, i)
@@ -146,14 +148,14 @@
 	return servers
 }
 
-// changedSince returns the servers that changed after a version, each once.
+// changedSince returns the servers that changed after the given version, each once.
 func (d *simDiscovery) changedSince(version int64) []int {
 	servers := slices.Clone(d.changeLog[version:])
 	slices.Sort(servers)
 	return slices.Compact(servers)
 }
 
-// receive takes a call that has arrived.
+// receive handles a call that has arrived.
 func (d *simDiscovery) receive(call *listCall) {
 	d.sim.counts.Discovery.Received.add(wireBytes(listRequestBytes))
 	if d.down {
@@ -163,13 +165,15 @@
 	d.enqueue(call)
 }
 
+// enqueue adds a call to the queue.
 func (d *simDiscovery) enqueue(call *listCall) {
 	call.queuedAt = d.sim.clock.now
 	d.queue = append(d.queue, call)
 	d.processNext()
 }
 
-// processNext begins to process the next call, unless another one is being processed.
+// processNext starts to process the next queued call, unless a call is already being processed. It fails
+// calls that have waited for longer than QueueTimeout.
 func (d *simDiscovery) processNext() {
 	for !d.processing && len(d.queue) > 0 {
 		call := d.queue[0]
@@ -186,22 +190,23 @@
 	}
 }
 
-// process begins to process a call that has waited in the queue.
+// process starts to process a call that has waited in the queue for the given time.
 func (d *simDiscovery) process(call *listCall, waited time.Duration) {
 	counts := &d.sim.counts.Discovery
 	counts.Processed++
 	counts.MaxQueueWait = max(counts.MaxQueueWait, waited)
-	if call.since == d.version() && call.maxWait > 0 { // nothing has changed yet
+	if call.sinceVersion == d.version() && call.maxWait > 0 { // no change to report yet
 		d.finishAfter(call, d.config.CallTime, func() { d.addWatch(call) })
 		return
 	}
-	response := d.response(call.since)
+	response := d.response(call.sinceVersion)
 	counts.EntriesWritten += int64(response.entries)
 	processingTime := d.config.CallTime + time.Duration(response.entries)*d.config.EntryTime
 	d.finishAfter(call, processingTime, func() { d.respond(call, response) })
 }
 
-// finishAfter finishes a call after its processing time, and begins with the next one.
+// finishAfter calls finish after the processing time of a call, and then starts to process the next call. If
+// an outage has started meanwhile, the call fails instead.
 func (d *simDiscovery) finishAfter(call *listCall, processingTime time.Duration, finish func()) {
 	d.processing = true
 	d.sim.counts.Discovery.ProcessingTime += processingTime
@@ -216,9 +221,9 @@
 	})
 }
 
-// addWatch keeps a call open until the list changes or its time is over.
+// addWatch keeps a call open until the list changes or maxWait has passed.
 func (d *simDiscovery) addWatch(call *listCall) {
-	if call.since < d.version() { // the list changed while the call was processed
+	if call.sinceVersion < d.version() { // the list changed while the call was being processed
 		d.enqueue(call)
 		return
 	}
@@ -226,12 +231,12 @@
 	d.sim.clock.after(call.maxWait, func() {
 		if i := slices.Index(d.watches, call); i >= 0 {
 			d.watches = slices.Delete(d.watches, i, i+1)
-			d.respond(call, d.response(call.since))
+			d.respond(call, d.response(call.sinceVersion))
 		}
 	})
 }
 
-// respond sends a response, unless the call has ended.
+// respond sends the response to a call, unless the call has ended.
 func (d *simDiscovery) respond(call *listCall, response listResponse) {
 	if call.done {
 		return
@@ -240,7 +245,7 @@
 	d.sim.network.sendReliable(0, call.zone, func() { call.respond(response, nil) })
 }
 
-// fail sends an error, unless the call has ended.
+// fail sends an error response to a call, unless the call has ended.
 func (d *simDiscovery) fail(call *listCall) {
 	if call.done {
 		return
@@ -249,7 +254,7 @@
 	d.sim.network.sendReliable(0, call.zone, func() { call.respond(listResponse{}, errUnavailable) })
 }
 
-// startOutage fails all calls in the queue, all watches and all calls to come.
+// startOutage fails all queued calls, all watches and all later calls.
 func (d *simDiscovery) startOutage() {
 	d.down = true
 	for _, call := range slices.Concat(d.queue, d.watches) {
--- a/internal/fleetsim/discovery_test.go
+++ b/internal/fleetsim/discovery_test.go
@@ -8,8 +8,8 @@
 	"cranehatch/policy"
 )
 
-// A change of one endpoint costs each sidecar one entry, one response and one new watch, and discovery two calls for
-// each sidecar, independent of the size of the list.
+// The cost of one endpoint change must not grow with the size of the list: each sidecar reads one entry in
+// one response and opens one new watch, and discovery processes two calls per sidecar.
 func TestEndpointChangeCostsOneEntryPerSidecar(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
 		t.Run(fmt.Sprintf("%d sidecars", n), func(t *testing.T) {
@@ -22,25 +22,27 @@
 			sim.Run(2 * time.Second)
 			c, all := sim.Counts(), int64(n)
 			if c.EntriesRead != all || c.EndpointLists.Received.Messages != all || c.EndpointLists.Sent.Messages != all {
-				t.Errorf("sidecars read %d entries in %d responses and made %d calls",
+				t.Errorf("sidecars read %d entries in %d responses and made %d calls, want one of each per sidecar",
 					c.EntriesRead, c.EndpointLists.Received.Messages, c.EndpointLists.Sent.Messages)
 			}
 			if d := c.Discovery; d.Processed != 2*all || d.EntriesWritten != all || d.Changes != 1 ||
 				d.Received != c.EndpointLists.Sent || d.Sent != c.EndpointLists.Received {
-				t.Errorf("discovery %+v", d)
+				t.Errorf("discovery counts = %+v, want two calls, one entry and one response per sidecar, and one change",
+					d)
 			}
 			if want := time.Duration(n) * (2*cfg.Discovery.CallTime + cfg.Discovery.EntryTime); c.Discovery.ProcessingTime != want {
-				t.Errorf("discovery's processing time is %v, want %v", c.Discovery.ProcessingTime, want)
+				t.Errorf("discovery processing time = %v, want %v", c.Discovery.ProcessingTime, want)
 			}
 			if len(sim.PropagationTimes()) != 1 || sim.PendingChanges() != 0 {
-				t.Errorf("propagation times %v, %d changes pending", sim.PropagationTimes(), sim.PendingChanges())
+				t.Errorf("propagation times = %v with %d pending changes, want one time and no pending change",
+					sim.PropagationTimes(), sim.PendingChanges())
 			}
 		})
 	}
 }
 
-// All sidecars call discovery at once, and it takes 100 ms for each call. It processes one call at a time and fails
-// those that wait in its queue for too long.
+// All sidecars call discovery at once, and each call takes 100 ms. Discovery must process one call at a time
+// and fail the calls that wait in its queue for longer than QueueTimeout.
 func TestDiscoveryOverload(t *testing.T) {
 	cfg := testConfig(1, 60, 0)
 	cfg.RequestRate, cfg.Discovery.CallTime, cfg.Discovery.QueueTimeout = 0, 100*ms, time.Second
@@ -48,9 +50,10 @@
 	sim.Run(1500 * ms)
 	c := sim.Counts().Discovery
 	if c.Processed > 15 || c.Processed < 10 || c.MaxQueueWait > time.Second {
-		t.Errorf("%d calls of 100 ms were processed in 1.5 s, after up to %v in the queue", c.Processed, c.MaxQueueWait)
+		t.Errorf("discovery processed %d calls of 100 ms in 1.5 s, with a queue wait of up to %v; want 10 to 15 calls and at most 1 s",
+			c.Processed, c.MaxQueueWait)
 	}
 	if c.TimedOut == 0 {
-		t.Error("of 60 calls at once, none timed out")
+		t.Error("none of 60 concurrent calls timed out")
 	}
 }
--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -8,44 +8,56 @@
 	"cranehatch/policy"
 )
 
-// The times of the real sidecar's client of discovery.
+// Times of discovery calls, the same as in the real sidecar's discovery client.
 const (
-	maxWatchTime      = 20 * time.Second       // that a watch may stay open
-	firstPollWait     = time.Millisecond       // of a call that does not watch
-	pollTimeout       = 6 * time.Second        // of a call that does not watch
-	pollHedgeInterval = 2 * time.Second        // after which it is sent once more
-	watchTimeoutSlack = 500 * time.Millisecond // how much longer than its time a watch may take
+	// maxWatchTime is the maximum time for which a watch is kept open.
+	maxWatchTime = 20 * time.Second
+
+	// pollWait is how long a poll for changes asks discovery to wait for one: it is to be answered at once.
+	pollWait = time.Millisecond
+
+	// pollTimeout is the timeout of a poll.
+	pollTimeout = 6 * time.Second
+
+	// pollHedgeInterval is the time after which an unanswered poll is sent again.
+	pollHedgeInterval = 2 * time.Second
+
+	// watchGracePeriod is the time after the wait of a watch within which the watch has to be answered.
+	watchGracePeriod = 500 * time.Millisecond
 )
 
-// endpointClient follows the endpoint list for a sidecar: it polls discovery once, and then watches for changes
-// until a call fails.
+// endpointClient follows the endpoint list for a sidecar. It polls discovery once and then watches for
+// changes until a call fails.
 type endpointClient struct {
 	sidecar       *simSidecar
 	version       int64 // of the list that the Balancer has, or noVersion
-	requested     bool  // the Balancer wants the list to be followed
-	following     bool
-	synced        bool // a call has succeeded since following began
-	watchTimedOut bool // the last watch had no response
+	requested     bool  // the Balancer has requested the list to be followed
+	following     bool  // the client is calling discovery
+	synced        bool  // a call has succeeded since following started
+	watchTimedOut bool  // the last watch got no response
+
+	// round is incremented when a round of calls starts and when it ends, so that responses to calls of
+	// earlier rounds are ignored. A round consists of one call and its hedges.
+	round int
 
-	round     int // incremented for each new call and when it ends, to ignore responses of earlier ones
-	openCalls []*listCall
+	openCalls []*listCall // of the current round
 }
 
-// endpointPoll is what the client asks discovery for.
-type endpointPoll struct {
-	since   int64 // noVersion: the complete list
-	maxWait time.Duration
-	timeout time.Duration
-	watch   bool // it waits for a change
+// listQuery describes a call to discovery, either a poll or a watch.
+type listQuery struct {
+	sinceVersion int64 // noVersion requests the complete list
+	maxWait      time.Duration
+	timeout      time.Duration
+	watch        bool // whether the call waits for a change
 }
 
-// reset prepares the client of a sidecar that starts.
+// reset prepares the client for the start of its sidecar.
 func (c *endpointClient) reset() {
 	c.version = noVersion
 	c.requested, c.following, c.synced, c.watchTimedOut = false, false, false, false
 }
 
-// start begins to follow the list, if the Balancer wants that.
+// start starts following the list, if the Balancer has requested it and the client is not following it yet.
 func (c *endpointClient) start() {
 	if c.sidecar.balancer == nil || c.following || !c.requested {
 		return
@@ -54,30 +66,30 @@
 	c.call()
 }
 
-// call calls discovery.
+// call starts a new round with a call to discovery.
 func (c *endpointClient) call() {
-	poll := c.nextPoll()
+	query := c.nextQuery()
 	c.round++
-	c.send(poll, c.round)
+	c.send(query, c.round)
 }
 
-// nextPoll returns what to ask for: the complete list, the changes since the version that the Balancer has, or a
-// watch of it.
-func (c *endpointClient) nextPoll() endpointPoll {
+// nextPoll returns the next call to make: a poll for the complete list, a poll for the changes since the
+// Balancer's version, or a watch for changes after that version.
+func (c *endpointClient) nextQuery() listQuery {
 	switch {
 	case c.version < 0:
-		return endpointPoll{since: noVersion, timeout: pollTimeout}
+		return listQuery{sinceVersion: noVersion, timeout: pollTimeout}
 	case !c.synced || c.watchTimedOut:
-		return endpointPoll{since: c.version, maxWait: firstPollWait, timeout: pollTimeout}
+		return listQuery{sinceVersion: c.version, maxWait: pollWait, timeout: pollTimeout}
 	}
 	maxWait := maxWatchTime/2 + time.Duration(c.sidecar.sim.rng.Int64N(int64(maxWatchTime/2)))
-	return endpointPoll{since: c.version, maxWait: maxWait, timeout: maxWait + watchTimeoutSlack, watch: true}
+	return listQuery{sinceVersion: c.version, maxWait: maxWait, timeout: maxWait + watchGracePeriod, watch: true}
 }
 
-// send sends one call of a round. All but watches are sent again, as a hedge, until the round ends.
-func (c *endpointClient) send(poll endpointPoll, round int) {
+// send sends one call of a round. A poll is hedged: it is sent again at intervals until the round ends.
+func (c *endpointClient) send(query listQuery, round int) {
 	sim, zone := c.sidecar.sim, c.sidecar.zone
-	call := &listCall{zone: zone, since: poll.since, maxWait: poll.maxWait}
+	call := &listCall{zone: zone, sinceVersion: query.sinceVersion, maxWait: query.maxWait}
 	c.openCalls = append(c.openCalls, call)
 	call.respond = func(response listResponse, err error) {
 		if c.round == round && !call.done {
@@ -86,22 +98,23 @@
 	}
 	sim.counts.EndpointLists.Sent.add(wireBytes(listRequestBytes))
 	sim.network.sendReliable(zone, 0, func() { sim.discovery.receive(call) })
-	sim.clock.after(poll.timeout, func() {
+	sim.clock.after(query.timeout, func() {
 		if c.round == round && !call.done {
-			c.handleTimeout(call, poll.watch)
+			c.handleTimeout(call, query.watch)
 		}
 	})
-	if poll.watch {
+	if query.watch {
 		return
 	}
 	sim.clock.after(pollHedgeInterval, func() {
 		if c.round == round {
-			c.send(poll, round)
+			c.send(query, round)
 		}
 	})
 }
 
-// handleResponse ends the round with a response, or with an error if no other call of it is open.
+// handleResponse handles the response to a call. An error ends the round only if no other call of the round
+// is open.
 func (c *endpointClient) handleResponse(call *listCall, response listResponse, err error) {
 	c.closeCall(call)
 	if err != nil && len(c.openCalls) > 0 {
@@ -113,10 +126,11 @@
 		c.fail()
 		return
 	}
-	c.update(call.since, response)
+	c.update(call.sinceVersion, response)
 }
 
-// handleTimeout ends the round if no other call of it is open. After a watch it polls at once.
+// handleTimeout handles the timeout of a call. It ends the round if no other call of the round is open. After
+// a watch that timed out, the client polls at once.
 func (c *endpointClient) handleTimeout(call *listCall, watch bool) {
 	c.closeCall(call)
 	if len(c.openCalls) > 0 {
@@ -131,13 +145,13 @@
 	c.fail()
 }
 
-// closeCall ends one call.
+// closeCall marks a call as done.
 func (c *endpointClient) closeCall(call *listCall) {
 	call.done = true
 	c.openCalls = slices.DeleteFunc(c.openCalls, func(open *listCall) bool { return open == call })
 }
 
-// cancelCalls ends the round with all its calls.
+// cancelCalls ends the round and cancels all its open calls.
 func (c *endpointClient) cancelCalls() {
 	c.round++
 	for _, call := range c.openCalls {
@@ -146,13 +160,14 @@
 	c.openCalls = nil
 }
 
-// update hands a list to the Balancer and calls discovery again.
-func (c *endpointClient) update(since int64, response listResponse) {
+// update passes a list to the Balancer and calls discovery again. A list that is invalid or older than the
+// Balancer's counts as a failed call, after which the client requests the complete list.
+func (c *endpointClient) update(sinceVersion int64, response listResponse) {
 	s, sim := c.sidecar, c.sidecar.sim
-	started := s.startCPU()
+	started := s.startCPUTimer()
 	list, err := endpointlist.Parse(response.body, sim.zones)
-	s.chargeControl(started)
-	if err != nil || !list.Complete && since >= 0 && list.Version < c.version {
+	s.addControlCPU(started)
+	if err != nil || !list.Complete && sinceVersion >= 0 && list.Version < c.version {
 		c.version = noVersion
 		c.fail()
 		return
@@ -160,28 +175,29 @@
 	sim.counts.EntriesRead += int64(len(list.Endpoints))
 	sim.addToDigest(digestList, s.index, uint64(list.Version))
 	kind := policy.DeltaUpdate
-	if list.Complete || since < 0 {
+	if list.Complete || sinceVersion < 0 {
 		kind = policy.FullUpdate
 	}
 	s.recordDrainNotices(list.Endpoints, kind)
 	c.synced, c.watchTimedOut, c.version = true, false, list.Version
-	started = s.startCPU()
+	started = s.startCPUTimer()
 	s.balancer.UpdateEndpoints(sim.clock.now, kind, list.Endpoints)
-	s.chargeControl(started)
+	s.addControlCPU(started)
 	c.call()
 }
 
-// fail reports a failed call to the Balancer, which decides when to call again.
+// fail reports a failed call to the Balancer, which decides when to call discovery again.
 func (c *endpointClient) fail() {
 	c.following = false
 	s := c.sidecar
-	started := s.startCPU()
+	started := s.startCPUTimer()
 	s.balancer.UpdateEndpoints(s.sim.clock.now, policy.UpdateFailed, nil)
-	s.chargeControl(started)
+	s.addControlCPU(started)
 	c.start()
 }
 
-// recordDrainNotices records which servers drain or are gone by an update, for NoSendWhileDraining.
+// recordDrainNotices records which servers an update reports as draining or removed, for NoSendWhileDraining.
+// A full update reports a server as removed by omitting it.
 func (s *simSidecar) recordDrainNotices(endpoints []policy.Endpoint, kind policy.UpdateKind) {
 	listed := make(map[policy.EndpointID]bool)
 	for _, e := range endpoints {
@@ -202,7 +218,7 @@
 	}
 }
 
-// recordDrainNotice records that a server drains or is gone, if the sidecar did not know that before.
+// recordDrainNotice records when the sidecar was first notified that a server is draining or removed.
 func (s *simSidecar) recordDrainNotice(id policy.EndpointID) {
 	if _, notified := s.drainNotices[id]; !notified {
 		s.drainNotices[id] = s.sim.clock.now
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -7,26 +7,27 @@
 	"cranehatch/policy"
 )
 
-// StartDiscoveryOutage makes all calls of discovery fail, those in progress included. Config.Discovery must be set.
+// StartDiscoveryOutage makes all calls to discovery fail, including those in progress. Config.Discovery must
+// be set.
 func (sim *Simulation) StartDiscoveryOutage() { sim.discovery.startOutage() }
 
-// EndDiscoveryOutage ends the outage. The endpoint list is as before.
+// EndDiscoveryOutage ends the outage. Discovery has kept its endpoint list.
 func (sim *Simulation) EndDiscoveryOutage() {
 	sim.discovery.down = false
 	sim.discoveryBecameReachable(func(int) bool { return true })
 }
 
-// PartitionRegions interrupts the network between all regions.
+// PartitionRegions starts a network partition between all regions.
 func (sim *Simulation) PartitionRegions() { sim.network.setPartition(sim.network.region, true) }
 
-// HealPartition ends what PartitionRegions began.
+// HealPartition ends the partition that PartitionRegions started.
 func (sim *Simulation) HealPartition() {
 	sim.network.setPartition(sim.network.region, false)
 	sim.discoveryBecameReachable(func(zone int) bool { return sim.network.region(zone) != sim.network.region(0) })
 }
 
-// FailZone makes all hosts of a zone fail at once, with their servers and sidecars. The zone must not be zone 0,
-// where discovery is. Discovery detects the failures by itself.
+// FailZone makes all hosts of a zone fail at once, with their servers and sidecars. The zone must not be zone
+// 0, where discovery is. The servers do not report their failure: discovery detects it.
 func (sim *Simulation) FailZone(zone int) {
 	for i, server := range sim.servers {
 		if server.zone == zone {
@@ -41,21 +42,23 @@
 	}
 }
 
-// detectFailure has discovery remove a server whose host has failed, unless it restarts before that.
-func (sim *Simulation) detectFailure(i int) {
+// detectFailure schedules the removal of a server whose host has failed from the endpoint list, unless the
+// server restarts before that.
+func (sim *Simulation) detectFailure(serverIndex int) {
 	if sim.discovery == nil {
 		return
 	}
-	server := sim.servers[i]
+	server := sim.servers[serverIndex]
 	incarnation := server.incarnation
 	sim.clock.after(sim.discovery.config.FailureDetectionTime+sim.discovery.config.PropagationDelay, func() {
 		if server.incarnation == incarnation && server.down {
-			sim.discovery.setState(i, policy.Removed)
+			sim.discovery.setState(serverIndex, policy.Removed)
 		}
 	})
 }
 
-// RestoreZone restarts all servers of a zone, in slow start, and its sidecars, without an endpoint list.
+// RestoreZone restarts all servers and sidecars of a zone. The servers are in slow start, and the sidecars
+// have no cached endpoint list.
 func (sim *Simulation) RestoreZone(zone int) {
 	for i, server := range sim.servers {
 		if server.zone == zone {
@@ -70,26 +73,27 @@
 	}
 }
 
-// restartSidecar starts a sidecar without an endpoint list.
+// restartSidecar starts a sidecar without a cached endpoint list.
 func (sim *Simulation) restartSidecar(s *simSidecar) {
-	sim.startErrors = errors.Join(sim.startErrors, s.start(nil))
+	sim.restartErrors = errors.Join(sim.restartErrors, s.start(nil))
 }
 
-// Replace drains server i for the time of grace, stops it and starts it again, in slow start, after downtime. The
-// sidecar with the same index, if there is one, stops and restarts with it, without an endpoint list.
-func (sim *Simulation) Replace(i int, grace, downtime time.Duration) {
-	server := sim.servers[i]
-	sim.announceState(i, policy.Draining)
+// Replace drains a server for the duration of grace, stops it, and restarts it in slow start after downtime.
+// The sidecar with the same index, if there is one, stops and restarts with the server, without a cached
+// endpoint list.
+func (sim *Simulation) Replace(serverIndex int, grace, downtime time.Duration) {
+	server := sim.servers[serverIndex]
+	sim.announceState(serverIndex, policy.Draining)
 	sim.clock.after(grace, func() {
 		if server.down {
-			return // its zone has failed meanwhile
+			return // its zone has failed in the meantime
 		}
 		var stopped *simSidecar
-		if i < len(sim.sidecars) && sim.sidecars[i].balancer != nil {
-			stopped = sim.sidecars[i]
+		if serverIndex < len(sim.sidecars) && sim.sidecars[serverIndex].balancer != nil {
+			stopped = sim.sidecars[serverIndex]
 			stopped.stop()
 		}
-		sim.restartServer(i, downtime, func() {
+		sim.restartServer(serverIndex, downtime, func() {
 			if stopped != nil && stopped.balancer == nil {
 				sim.restartSidecar(stopped)
 			}
@@ -97,41 +101,42 @@
 	})
 }
 
-// Crash stops server i with all its requests and starts it again, in slow start, after downtime. The sidecar with
-// the same index keeps running. It does nothing if the server is down.
-func (sim *Simulation) Crash(i int, downtime time.Duration) {
-	if !sim.servers[i].down {
-		sim.restartServer(i, downtime, func() {})
+// Crash stops a server, which loses all its requests, and restarts it in slow start after downtime. The
+// sidecar with the same index keeps running. Crash does nothing if the server is already down.
+func (sim *Simulation) Crash(serverIndex int, downtime time.Duration) {
+	if !sim.servers[serverIndex].down {
+		sim.restartServer(serverIndex, downtime, func() {})
 	}
 }
 
-// restartServer stops a server and starts it again after downtime, unless it was started or stopped meanwhile.
-func (sim *Simulation) restartServer(i int, downtime time.Duration, restarted func()) {
-	server := sim.servers[i]
+// restartServer stops a server and restarts it after downtime, unless it has been started or stopped in the
+// meantime. It calls restarted after the restart.
+func (sim *Simulation) restartServer(serverIndex int, downtime time.Duration, restarted func()) {
+	server := sim.servers[serverIndex]
 	server.stop(false)
-	sim.announceState(i, policy.Removed)
+	sim.announceState(serverIndex, policy.Removed)
 	incarnation := server.incarnation
 	sim.clock.after(downtime, func() {
 		if server.incarnation == incarnation {
 			server.start()
-			sim.announceState(i, policy.Ready)
+			sim.announceState(serverIndex, policy.Ready)
 			restarted()
 		}
 	})
 }
 
-// announceState reports the state of a server from its zone to discovery. The report is dropped if the server was
-// started or stopped meanwhile.
-func (sim *Simulation) announceState(i int, state policy.EndpointState) {
+// announceState reports the state of a server to discovery, over the network from the zone of the server. The
+// report is dropped if the server has been started or stopped in the meantime.
+func (sim *Simulation) announceState(serverIndex int, state policy.EndpointState) {
 	if sim.discovery == nil {
 		return
 	}
-	server := sim.servers[i]
+	server := sim.servers[serverIndex]
 	incarnation := server.incarnation
 	sim.network.sendReliable(server.zone, 0, func() {
 		sim.clock.after(sim.discovery.config.PropagationDelay, func() {
 			if server.incarnation == incarnation {
-				sim.discovery.setState(i, state)
+				sim.discovery.setState(serverIndex, state)
 			}
 		})
 	})
--- a/internal/fleetsim/faults_test.go
+++ b/internal/fleetsim/faults_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A zone of a fleet loses all its hosts, and they restart 20 s later. The restarted sidecars read an entry for each
-// server, all the others only the changes. No invariant is violated, and each change reaches all within 5 s.
+// All hosts of a zone fail and restart 20 s later. The restarted sidecars must read the complete list, and
+// all others only the changes. No invariant may be violated, and all sidecars must have each change within
+// 5 s.
 func TestZoneOutage(t *testing.T) {
 	sim := newSimulation(t, testConfig(0, 100, 5))
 	failLastZone(sim, 10*time.Second, 20*time.Second, 30*time.Second)
@@ -14,32 +15,36 @@
 	c := sim.Counts()
 	const failed, running = 16, 84 // of 100 in 6 zones
 	if c.Discovery.Changes != 2*failed {
-		t.Errorf("%d changes, want %d failures and as many restarts", c.Discovery.Changes, failed)
+		t.Errorf("discovery recorded %d changes, want %d failures and as many restarts", c.Discovery.Changes, failed)
 	}
-	// Running sidecars read all changes. Each restarted one reads the complete list, of at least the running servers
-	// and at most all, and then the changes.
+	// Running sidecars read all changes. Each restarted sidecar reads the complete list, which has at least
+	// the running servers and at most all servers, and then the changes.
 	changes := int64(running * 2 * failed)
 	if c.EntriesRead < changes+failed*running || c.EntriesRead > changes+failed*(100+2*failed) {
-		t.Errorf("%d entries were read, want at least %d", c.EntriesRead, changes+failed*running)
+		t.Errorf("sidecars read %d entries, want at least %d and only the changes besides the complete lists",
+			c.EntriesRead, changes+failed*running)
 	}
 	if times := sim.PropagationTimes(); len(times) != 2*failed || maxDuration(times) > 5*time.Second {
-		t.Errorf("%d changes have reached all, the slowest after %v", len(times), maxDuration(times))
+		t.Errorf("%d changes reached all sidecars, the slowest after %v; want one per failure and restart, within 5 s",
+			len(times), maxDuration(times))
 	}
 }
 
-// The network between two regions is partitioned for a minute, while servers are replaced on both sides. No invariant
-// is violated, and all changes reach all within 15 s after the partition has healed.
+// The network between two regions is partitioned for a minute while servers are replaced on both sides. No
+// invariant may be violated, and all changes must reach all sidecars within 15 s after the partition has
+// healed.
 func TestRegionPartition(t *testing.T) {
 	sim := newSimulation(t, testConfig(0, 100, 5))
 	partitionRegions(sim, 10, time.Minute)
 	checkInvariants(t, sim)
 	if times := sim.PropagationTimes(); sim.PendingChanges() > 0 || len(times) < 20 || maxDuration(times) > 15*time.Second {
-		t.Errorf("%d changes have reached all, the slowest after %v, and %d have not", len(times), maxDuration(times), sim.PendingChanges())
+		t.Errorf("%d changes reached all sidecars, the slowest after %v, and %d are pending; want no pending change and at most 15 s",
+			len(times), maxDuration(times), sim.PendingChanges())
 	}
 }
 
-// A tenth of the servers is replaced in a rolling update. No invariant is violated, and each change reaches all
-// within 5 s.
+// A tenth of the servers is replaced in a rolling update. No invariant may be violated, and each change must
+// reach all sidecars within 5 s.
 func TestRollingReplacement(t *testing.T) {
 	const replaced, changesEach = 11, 3 // draining, gone and ready
 	sim := newSimulation(t, testConfig(0, 100, 5))
@@ -48,13 +53,13 @@
 	sim.Run(time.Minute)
 	checkInvariants(t, sim)
 	if times := sim.PropagationTimes(); len(times) != changesEach*replaced || sim.PendingChanges() > 0 || maxDuration(times) > 5*time.Second {
-		t.Errorf("%d changes have reached all, want %d, the slowest after %v, and %d have not",
+		t.Errorf("%d changes reached all sidecars, want %d; the slowest after %v, want at most 5s; %d are pending, want none",
 			len(times), changesEach*replaced, maxDuration(times), sim.PendingChanges())
 	}
 }
 
-// Servers crash one after the other with the requests they have in flight. A non-idempotent request that may have
-// been executed is not sent again, and each request gets its response in time.
+// Servers crash one after the other with their requests in flight. A non-idempotent request that may have
+// been executed must not be sent again, and each request must get its response in time.
 func TestServerCrashes(t *testing.T) {
 	sim := newSimulation(t, testConfig(0, 60, 30))
 	sim.Run(2 * time.Second)
@@ -64,12 +69,12 @@
 	sim.Run(25 * time.Second)
 	checkInvariants(t, sim)
 	if c := sim.Class(nonIdempotentClass); c.Failed == 0 || c.WithinObjective < c.Requests*9/10 {
-		t.Errorf("of the non-idempotent requests %+v, want some failures and nine tenths within the objective", c)
+		t.Errorf("non-idempotent requests = %+v, want some failures and at least 90%% within the latency objective", c)
 	}
 }
 
-// Servers restart with a tenth of their capacity. Each of 300 sidecars could send them just one request at a time,
-// and all together still stay within the slow-start budget.
+// Servers restart with a tenth of their capacity. If each of 300 sidecars sent them only one request at a
+// time, the requests of all sidecars together could still exceed the slow-start budget.
 func TestSlowStartLimitsNewServers(t *testing.T) {
 	cfg := testConfig(0, 300, 2)
 	cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 12, 0.1, 1.2
@@ -82,8 +87,8 @@
 	checkInvariants(t, sim)
 }
 
-// Discovery has an outage while servers are replaced. No invariant is violated, and all changes reach all within 15 s
-// after the outage.
+// Discovery has an outage while servers are replaced. No invariant may be violated, and all changes must
+// reach all sidecars within 15 s after the outage.
 func TestDiscoveryOutage(t *testing.T) {
 	sim := newSimulation(t, testConfig(0, 60, 5))
 	sim.Run(5 * time.Second)
@@ -95,6 +100,7 @@
 	sim.Run(30 * time.Second)
 	checkInvariants(t, sim)
 	if times := sim.PropagationTimes(); sim.PendingChanges() > 0 || len(times) == 0 || maxDuration(times) > 15*time.Second {
-		t.Errorf("%d changes have reached all, the slowest after %v, and %d have not", len(times), maxDuration(times), sim.PendingChanges())
+		t.Errorf("%d changes reached all sidecars, the slowest after %v, and %d are pending; want no pending change and at most 15 s",
+			len(times), maxDuration(times), sim.PendingChanges())
 	}
 }
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -11,7 +11,8 @@
 	"cranehatch/policy"
 )
 
-// goldenCall is the number of a Host method in a golden digest. The numbers never change; a new method gets a new one.
+// goldenCall is the number of a Host method in a golden digest. The numbers must never change; a new method
+// gets a new number.
 type goldenCall int
 
 const (
@@ -27,24 +28,24 @@
 	goldenCallCount
 )
 
-// goldenRecorder computes a digest of the Host calls of all sidecars of one simulation, in their order.
+// goldenRecorder computes a digest of the Host calls of all sidecars of a simulation, in order.
 type goldenRecorder struct {
-	sim         *Simulation
-	hash        hash.Hash64
-	callCounts  [goldenCallCount]int
-	adopted     []*policy.Balancer // by sidecar
-	initialList []policy.Endpoint  // that sidecars have at the start of the simulation
+	sim               *Simulation
+	hash              hash.Hash64
+	callCounts        [goldenCallCount]int
+	recordedBalancers []*policy.Balancer // by sidecar: the Balancer whose calls are recorded
+	initialList       []policy.Endpoint  // that sidecars have at the start of the simulation; nil afterwards
 }
 
-// recordingHost records the calls of a Balancer and passes them to its sidecar.
+// recordingHost is a Host that records the calls of a Balancer and passes them to its sidecar.
 type recordingHost struct {
 	*goldenRecorder
 	sidecar   *simSidecar
-	replaying bool // the sidecar has had these calls before, from the Balancer that this one replaces
+	replaying bool // the calls repeat those of the replaced Balancer, which the sidecar has already handled
 }
 
-// record adds a call to the digest: its time, its sidecar, its number and its arguments. It returns whether to pass
-// the call to the sidecar.
+// record adds a call to the digest: its time, its sidecar, its number and its arguments. It reports whether
+// to pass the call to the sidecar.
 func (h *recordingHost) record(call goldenCall, args ...any) bool {
 	h.callCounts[call]++
 	fmt.Fprintf(h.hash, "%d %d %d", int64(h.sim.clock.now), h.sidecar.index, int(call))
@@ -55,15 +56,15 @@
 	return !h.replaying
 }
 
-func (h *recordingHost) Send(id policy.RequestID, to policy.EndpointID, timeout, within time.Duration) {
-	if h.record(goldenSend, uint64(id), uint64(to), int64(timeout), int64(within)) {
-		h.sidecar.Send(id, to, timeout, within)
+func (h *recordingHost) Send(id policy.RequestID, to policy.EndpointID, timeout, writeTimeout time.Duration) {
+	if h.record(goldenSend, uint64(id), uint64(to), int64(timeout), int64(writeTimeout)) {
+		h.sidecar.Send(id, to, timeout, writeTimeout)
 	}
 }
 
-func (h *recordingHost) Reject(id policy.RequestID, pause time.Duration) {
-	if h.record(goldenReject, uint64(id), int64(pause)) {
-		h.sidecar.Reject(id, pause)
+func (h *recordingHost) Reject(id policy.RequestID, retryAfter time.Duration) {
+	if h.record(goldenReject, uint64(id), int64(retryAfter)) {
+		h.sidecar.Reject(id, retryAfter)
 	}
 }
 
@@ -73,9 +74,9 @@
 	}
 }
 
-func (h *recordingHost) Cancel(id policy.RequestID, n int) {
-	if h.record(goldenCancel, uint64(id), n) {
-		h.sidecar.Cancel(id, n)
+func (h *recordingHost) Cancel(id policy.RequestID, attempt int) {
+	if h.record(goldenCancel, uint64(id), attempt) {
+		h.sidecar.Cancel(id, attempt)
 	}
 }
 
@@ -103,43 +104,44 @@
 	}
 }
 
-func (h *recordingHost) Broadcast(n policy.GossipMessage) {
-	if h.record(goldenBroadcast, int64(n.SentAt), n.RequestRate, n.Responses, n.Congestion) {
-		h.sidecar.Broadcast(n)
+func (h *recordingHost) Broadcast(message policy.GossipMessage) {
+	if h.record(goldenBroadcast, int64(message.SentAt), message.RequestRate, message.Responses, message.Congestion) {
+		h.sidecar.Broadcast(message)
 	}
 }
 
-// Log is left out: its texts are for people and may change.
+// Log is not recorded: log messages are for operators and may change.
 func (h *recordingHost) Log(e policy.HealthEvent) { h.sidecar.Log(e) }
 
-// newGoldenRecorder records a simulation that has not run yet.
+// newGoldenRecorder creates a recorder for a simulation that has not run yet.
 func newGoldenRecorder(t testing.TB, sim *Simulation) *goldenRecorder {
 	t.Helper()
-	g := &goldenRecorder{sim: sim, hash: fnv.New64a(), adopted: make([]*policy.Balancer, len(sim.sidecars))}
+	g := &goldenRecorder{sim: sim, hash: fnv.New64a(), recordedBalancers: make([]*policy.Balancer, len(sim.sidecars))}
 	list, err := endpointlist.Parse(sim.discovery.response(noVersion).body, sim.zones)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.initialList = list.Endpoints
-	g.adoptAll(t)
-	g.initialList = nil // sidecars that restart have no list
+	g.attachAll(t)
+	g.initialList = nil // restarted sidecars have no cached list
 	return g
 }
 
-// adoptAll adopts the sidecars that have started since the last call.
-func (g *goldenRecorder) adoptAll(t testing.TB) {
+// attachAll attaches the recorder to the sidecars that have started since the last call.
+func (g *goldenRecorder) attachAll(t testing.TB) {
 	t.Helper()
 	for i, s := range g.sim.sidecars {
-		if s.balancer != nil && s.balancer != g.adopted[i] {
-			g.adopt(t, s)
+		if s.balancer != nil && s.balancer != g.recordedBalancers[i] {
+			g.attach(t, s)
 		}
 	}
 }
 
-// adopt replaces the Balancer of a sidecar that has just started by an equal one whose calls are recorded. A
-// Balancer's calls follow from its seed and its events, so the new one gets the events that simSidecar.start gave the
-// old one. The calls it makes then are recorded, but not passed on, as the sidecar has had them.
-func (g *goldenRecorder) adopt(t testing.TB, s *simSidecar) {
+// attach replaces the Balancer of a sidecar that has just started by an identical one whose calls are
+// recorded. A Balancer's calls depend only on its configuration, its seed and its events, so the new Balancer
+// gets the events that simSidecar.start passed to the old one. Its calls during these events are recorded but
+// not passed on, because the sidecar has already handled them.
+func (g *goldenRecorder) attach(t testing.TB, s *simSidecar) {
 	t.Helper()
 	host := &recordingHost{goldenRecorder: g, sidecar: s, replaying: true}
 	b, err := s.newBalancer(host)
@@ -151,26 +153,27 @@
 		b.UpdateEndpoints(g.sim.clock.now, policy.CachedUpdate, g.initialList)
 	}
 	host.replaying = false
-	s.balancer, g.adopted[s.index] = b, b
+	s.balancer, g.recordedBalancers[s.index] = b, b
 }
 
-// run continues the simulation as Simulation.Run does, without its samples, and adopts each sidecar right after the
-// event that starts it.
+// run advances the simulation as Simulation.Run does, without its samples, and attaches the recorder to each
+// sidecar right after the event that starts it.
 func (g *goldenRecorder) run(t testing.TB, d time.Duration) {
 	t.Helper()
 	sim := g.sim
 	end := sim.clock.now + d
-	g.adoptAll(t)
+	g.attachAll(t)
 	for sim.clock.hasEventUntil(end) {
 		e := sim.clock.pop()
 		sim.clock.now = e.at
 		e.fire()
-		g.adoptAll(t)
+		g.attachAll(t)
 	}
 	sim.clock.now = end
 }
 
-// disconnectOldestRequests disconnects the client of the oldest request of each sidecar that has an attempt in flight.
+// disconnectOldestRequests disconnects, at each sidecar, the client of the oldest request that has an attempt
+// in flight.
 func disconnectOldestRequests(sim *Simulation) {
 	for _, s := range sim.sidecars {
 		var oldest *request
@@ -185,8 +188,8 @@
 	}
 }
 
-// goldenScenario is a simulation with a digest of its calls. Its run function gets the function that runs
-// the simulation for a time, so that a recorder can take part.
+// goldenScenario is a simulation and the golden digest of its calls. Its run function gets a function that
+// advances the simulation, so that the recorder can take part.
 type goldenScenario struct {
 	name       string
 	config     func() Config
@@ -194,26 +197,26 @@
 	wantDigest uint64
 }
 
-// goldenScenarios are the steady states, faults and settings that the digests cover.
+// goldenScenarios returns the steady states, faults and settings that the golden digests cover.
 func goldenScenarios() []goldenScenario {
 	return []goldenScenario{
-		{"steady with gossip", unchangedConfig(1, 60, 4), runFor(6 * time.Second), 0x9f04164adf41fdfa},
+		{"steady with gossip", baseConfig(1, 60, 4), runFor(6 * time.Second), 0x9f04164adf41fdfa},
 		{"overload without gossip", overloadWithoutGossip, runFor(5 * time.Second), 0xa03c58c2bfefea3f},
-		{"rolling replacement", unchangedConfig(0, 40, 5), replaceHalf, 0xc4e535a278111f38},
+		{"rolling replacement", baseConfig(0, 40, 5), replaceHalf, 0xc4e535a278111f38},
 		{"rolling replacement with health checks", withHealthChecks, replaceHalfBriefly, 0xaaf4ff1bf70156a3},
-		{"zone outage", unchangedConfig(0, 40, 8), zoneOutage, 0xbbe56d58dcf4ed8d},
-		{"region partition", unchangedConfig(0, 40, 5), regionPartition, 0x72c637623f5ddf12},
-		{"discovery outage", unchangedConfig(0, 40, 5), discoveryOutage, 0x38a779a10daa844b},
+		{"zone outage", baseConfig(0, 40, 8), zoneOutage, 0xbbe56d58dcf4ed8d},
+		{"region partition", baseConfig(0, 40, 5), regionPartition, 0x72c637623f5ddf12},
+		{"discovery outage", baseConfig(0, 40, 5), discoveryOutage, 0x38a779a10daa844b},
 		{"discovery overload", slowDiscovery, runFor(15 * time.Second), 0x8855b636048526d0},
 		{"short deadlines", shortDeadlines, runFor(5 * time.Second), 0xf8bab8f0735ffbb2},
-		{"client disconnects", unchangedConfig(5, 12, 40), clientDisconnects, 0xdc9d05f63f1da8b4},
-		{"server crashes", unchangedConfig(0, 30, 30), serverCrashes, 0x1eccc7c9887d6840},
+		{"client disconnects", baseConfig(5, 12, 40), clientDisconnects, 0xdc9d05f63f1da8b4},
+		{"server crashes", baseConfig(0, 30, 30), serverCrashes, 0x1eccc7c9887d6840},
 		{"slow start", slowStart, slowStartCrashes, 0x31c7c75e08bdd02a},
 	}
 }
 
-// unchangedConfig returns testConfig with these arguments.
-func unchangedConfig(seed uint64, sidecars int, ratePerSidecar float64) func() Config {
+// baseConfig returns a function that calls testConfig with these arguments.
+func baseConfig(seed uint64, sidecars int, ratePerSidecar float64) func() Config {
 	return func() Config { return testConfig(seed, sidecars, ratePerSidecar) }
 }
 
@@ -223,7 +226,7 @@
 	return cfg
 }
 
-// withHealthChecks allows health checks and closing of idle connections, which testConfig does not.
+// withHealthChecks enables health checks and the closing of idle connections, which testConfig does not.
 func withHealthChecks() Config {
 	cfg := testConfig(3, 20, 20)
 	cfg.Policy.CanHealthCheck, cfg.Policy.ReportFields, cfg.Policy.IdleCloseTimeout = true, policy.HasInFlight, 100*ms
@@ -250,7 +253,7 @@
 	return cfg
 }
 
-// runFor runs a simulation without faults.
+// runFor returns a run function without faults.
 func runFor(d time.Duration) func(*Simulation, func(time.Duration)) {
 	return func(_ *Simulation, run func(time.Duration)) { run(d) }
 }
@@ -317,16 +320,17 @@
 	run(10 * time.Second)
 }
 
-// TestGoldenCalls guards the behaviour of Balancers in a fleet against refactorings. Each digest covers every call
-// that the Balancers of a simulation make on their Host, except Log, in order: its time, the sidecar that made it, its
-// number and its arguments. A digest holds plain numbers only, no name of a type, field or method, so renames do
-// not change it.
+// TestGoldenCalls guards the behaviour of Balancers in a fleet against refactorings. Each digest covers every
+// call that the Balancers of a simulation make on their Host, except Log, in order: the time of the call, the
+// sidecar that made it, its number and its arguments. A digest contains only numbers and no name of a type,
+// field or method, so renames do not change it.
 //
-// A refactoring must keep every digest: a step that changes one has changed a decision and is wrong. Only a change
-// that is meant to alter decisions may put new digests here, and its commit message has to say why.
+// A refactoring must keep every digest: if a step changes a digest, it has changed a decision and is wrong.
+// Only a change that is meant to alter decisions may put new digests here, and its commit message must give
+// the reason.
 //
-// Each scenario runs a second time without the recorder and must come out the same, so the recorder itself changes
-// nothing.
+// Each scenario runs a second time without the recorder. Both runs must produce the same result, which shows
+// that the recorder does not change the simulation.
 func TestGoldenCalls(t *testing.T) {
 	var total [goldenCallCount]int
 	scenarios, finished := goldenScenarios(), 0
@@ -336,7 +340,8 @@
 			g := newGoldenRecorder(t, recorded)
 			scenario.run(recorded, func(d time.Duration) { g.run(t, d) })
 			if got := g.hash.Sum64(); got != scenario.wantDigest {
-				t.Errorf("the digest is %#016x, want %#016x; calls by their number %v", got, scenario.wantDigest, g.callCounts[1:])
+				t.Errorf("digest = %#016x, want %#016x; number of calls by goldenCall: %v",
+					got, scenario.wantDigest, g.callCounts[1:])
 			}
 			for call, count := range g.callCounts {
 				total[call] += count
@@ -344,7 +349,7 @@
 			plain := newSimulation(t, scenario.config())
 			scenario.run(plain, plain.Run)
 			if recorded.Digest() != plain.Digest() || recorded.Counts() != plain.Counts() {
-				t.Errorf("the recorder changes the run: digest %x and %+v, without it %x and %+v",
+				t.Errorf("with the recorder: digest %x, counts %+v; without it: digest %x, counts %+v; want no difference",
 					recorded.Digest(), recorded.Counts(), plain.Digest(), plain.Counts())
 			}
 			if err := recorded.Err(); err != nil {
@@ -354,11 +359,11 @@
 		})
 	}
 	if finished < len(scenarios) {
-		return // a scenario has failed fatally, or -run has selected only some
+		return // a scenario ended with a fatal error, or -run selected only some
 	}
 	for call, count := range total[1:] {
 		if count == 0 {
-			t.Errorf("no scenario makes call %d", call+1)
+			t.Errorf("no scenario makes Host call %d", call+1)
 		}
 	}
 }
--- a/internal/fleetsim/helpers_test.go
+++ b/internal/fleetsim/helpers_test.go
@@ -10,16 +10,17 @@
 
 const ms = time.Millisecond
 
-// The classes of testConfig.
+// Classes of testConfig.
 const (
 	idempotentClass = iota
 	idempotentByKeyClass
 	nonIdempotentClass
 )
 
-// testConfig is a service with as many servers as sidecars in 6 zones and 2 regions. ratePerSidecar is in requests per
-// second. The settings of the Balancers are those of the fleet that docs/CAPACITY.md assumes, with a non-idempotent
-// class; the times of servers, network and discovery are assumed.
+// testConfig returns the configuration of a service with as many servers as sidecars, in 6 zones and 2
+// regions. ratePerSidecar is in requests per second. The settings of the Balancers are those of the fleet
+// assumed in docs/CAPACITY.md, plus a non-idempotent class; the times of servers, network and discovery are
+// assumed.
 func testConfig(seed uint64, sidecars int, ratePerSidecar float64) Config {
 	return Config{
 		Seed: seed, Sidecars: sidecars, Servers: sidecars, Zones: 6, Regions: 2, FirstZone: int(seed % 6),
@@ -40,7 +41,7 @@
 	}
 }
 
-// testPolicy is the Balancers' configuration, with a quota in requests per second that the tenants divide.
+// testPolicy returns the Balancers' configuration. The tenants share the quota, in requests per second.
 func testPolicy(quota float64) policy.Config {
 	return policy.Config{
 		Classes: []policy.Class{
@@ -56,6 +57,7 @@
 	}
 }
 
+// testClass returns a class with the latency objective and deadline of all test classes.
 func testClass(priorityWeight float64, idempotency policy.Idempotency) policy.Class {
 	return policy.Class{
 		LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: priorityWeight,
@@ -63,7 +65,7 @@
 	}
 }
 
-// newSimulation starts a simulation; an error fails the test.
+// newSimulation starts a simulation, and fails the test if New returns an error.
 func newSimulation(t testing.TB, cfg Config) *Simulation {
 	t.Helper()
 	sim, err := New(cfg)
@@ -73,18 +75,19 @@
 	return sim
 }
 
-// checkInvariants fails the test for violations, and for sidecars that could not restart.
+// checkInvariants fails the test for invariant violations and for sidecars that failed to restart.
 func checkInvariants(t testing.TB, sim *Simulation) {
 	t.Helper()
 	if v := sim.Violations(); v.Total() > 0 {
-		t.Errorf("violations %v: %q", v.Counts, v.Details)
+		t.Errorf("invariant violations = %v, want none: %q", v.Counts, v.Details)
 	}
 	if err := sim.Err(); err != nil {
 		t.Error(err)
 	}
 }
 
-// failLastZone runs a simulation before, during and after an outage of its last zone.
+// failLastZone runs a simulation in which the last zone has an outage. The parameters are the times before,
+// during and after the outage.
 func failLastZone(sim *Simulation, before, outage, after time.Duration) {
 	sim.Run(before)
 	sim.FailZone(sim.config.Zones - 1)
@@ -93,8 +96,8 @@
 	sim.Run(after)
 }
 
-// partitionRegions runs a simulation with a partition of its regions for d, and for 30 s after it. During the
-// partition n servers are replaced, on both sides.
+// partitionRegions runs a simulation with a partition of its regions for d, and then for 30 s without it.
+// During the partition, n servers are replaced on both sides.
 func partitionRegions(sim *Simulation, n int, d time.Duration) {
 	sim.Run(5 * time.Second)
 	sim.PartitionRegions()
@@ -104,7 +107,8 @@
 	sim.Run(30 * time.Second)
 }
 
-// replaceServers schedules the replacement of n servers and their sidecars, evenly over d and over all servers.
+// replaceServers schedules the replacement of n servers and their sidecars, spread evenly over d and over all
+// servers.
 func replaceServers(sim *Simulation, n int, d time.Duration) {
 	const grace, downtime = 8 * time.Second, 2 * time.Second
 	for k := range n {
@@ -114,5 +118,5 @@
 	}
 }
 
-// maxDuration is the maximum of durations, and 0 if there is none.
+// maxDuration returns the maximum of durations, or 0 if there are none.
 func maxDuration(durations []time.Duration) time.Duration { return slices.Max(append(durations, 0)) }
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -7,43 +7,46 @@
 	"cranehatch/policy"
 )
 
-// Invariant is a rule that no sidecar may violate, whatever fails around it.
+// Invariant is a rule that must hold whatever faults occur.
 type Invariant int
 
-// The invariants that a simulation checks.
+// Invariants that a simulation checks.
 const (
-	// SingleResponse: each request gets exactly one final response, before its client times out.
+	// SingleResponse requires that each request gets exactly one final response, before its client times out.
 	SingleResponse Invariant = iota
 
-	// AtMostOnce: a request of a non-idempotent class is never executed twice, and one that was executed is not
-	// rejected, as a rejected request may be retried.
+	// AtMostOnce requires that a request of a non-idempotent class is executed at most once, and that it is
+	// not rejected after an execution, because a client may retry a rejected request.
 	AtMostOnce
 
-	// NoSendWhileDraining: nothing is sent to a server more than 1 s after the sidecar learned that it drains.
+	// NoSendWhileDraining requires that a sidecar sends nothing to a server more than 1 s after it was
+	// notified that the server is draining.
 	NoSendWhileDraining
 
-	// SlowStartBudget: a server in slow start gets no more requests in a window than its budget.
+	// SlowStartBudget requires that a server in slow start receives no more requests in a window than its
+	// budget.
 	SlowStartBudget
 
 	invariantCount
 )
 
-// String returns a short name for messages.
+// String returns a short name for violation messages.
 func (i Invariant) String() string {
 	return [invariantCount]string{"single response", "at most once", "no send while draining", "slow-start budget"}[i]
 }
 
 const (
-	// drainStopDelay is the time from the drain notice to the last attempt at a server.
+	// drainStopDelay is how long after a drain notice a sidecar may still send attempts to the server.
 	drainStopDelay = 1 * time.Second
 
-	// maxNoticeDelay is the time after which a sidecar counts as notified of what discovery has, if it could call it.
+	// maxNoticeDelay is the time after which a sidecar counts as notified of a state that discovery has
+	// recorded, if the sidecar could reach discovery.
 	maxNoticeDelay = 6 * time.Second
 
-	// responseSlack is how long after its client's timeout a request is checked to have a response.
+	// responseSlack is the time from the timeout of a client to the check that its request has a response.
 	responseSlack = 2 * time.Millisecond
 
-	// maxViolationDetails is how many violations are described.
+	// maxViolationDetails is the maximum number of violations in Violations.Details.
 	maxViolationDetails = 10
 )
 
@@ -53,7 +56,7 @@
 	Details []string
 }
 
-// Total is the number of violations of all invariants.
+// Total returns the number of violations of all invariants.
 func (v *Violations) Total() (total int) {
 	for _, count := range v.Counts {
 		total += count
@@ -61,21 +64,21 @@
 	return total
 }
 
-// recordViolation counts a violation and describes it, if it is one of the first.
-func (sim *Simulation) recordViolation(i Invariant, format string, args ...any) {
-	sim.violations.Counts[i]++
+// recordViolation counts a violation, and describes it if it is one of the first.
+func (sim *Simulation) recordViolation(invariant Invariant, format string, args ...any) {
+	sim.violations.Counts[invariant]++
 	if len(sim.violations.Details) < maxViolationDetails {
-		detail := fmt.Sprintf("%v %v: %s", sim.clock.now, i, fmt.Sprintf(format, args...))
+		detail := fmt.Sprintf("%v %v: %s", sim.clock.now, invariant, fmt.Sprintf(format, args...))
 		sim.violations.Details = append(sim.violations.Details, detail)
 	}
 }
 
-// nonIdempotent reports whether requests of a class must not be executed twice.
+// nonIdempotent reports whether a class is non-idempotent, so that its requests must not be executed twice.
 func (sim *Simulation) nonIdempotent(class int) bool {
 	return sim.config.Policy.Classes[class].Idempotency == policy.NonIdempotent
 }
 
-// executionStarted checks AtMostOnce when a server begins to execute an attempt.
+// executionStarted counts an execution and checks AtMostOnce, when a server starts to execute an attempt.
 func (sim *Simulation) executionStarted(a *attempt) {
 	call := a.request.call
 	call.executions++
@@ -84,8 +87,9 @@
 	}
 }
 
-// drainNoticeAt returns when a sidecar learned that a server drains or is gone, and whether it did. A sidecar also
-// counts as notified some time after discovery knew it, if it could call discovery for all that time.
+// drainNoticeAt returns when a sidecar was notified that a server is draining or removed, and whether it was
+// notified. A sidecar also counts as notified maxNoticeDelay after discovery recorded the state, if it could
+// reach discovery for all that time.
 func (sim *Simulation) drainNoticeAt(s *simSidecar, server *simServer) (at time.Duration, notified bool) {
 	at, notified = s.drainNotices[server.id]
 	if server.drainingSince > 0 && sim.discoveryReachable(s.zone) {
@@ -97,10 +101,10 @@
 	return at, notified
 }
 
-// checkSend checks NoSendWhileDraining when an attempt is sent.
+// checkSend checks NoSendWhileDraining when a sidecar sends an attempt.
 func (sim *Simulation) checkSend(s *simSidecar, server *simServer) {
 	if at, notified := sim.drainNoticeAt(s, server); notified && sim.clock.now > at+drainStopDelay {
-		sim.recordViolation(NoSendWhileDraining, "sidecar %d sent to %s, %v after it was notified",
+		sim.recordViolation(NoSendWhileDraining, "sidecar %d sent an attempt to server %s %v after its drain notice",
 			s.index, server.name, sim.clock.now-at)
 	}
 }
--- a/internal/fleetsim/invariants_test.go
+++ b/internal/fleetsim/invariants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// idleSimulation starts 6 sidecars and servers without client requests.
+// idleSimulation starts 6 sidecars and 6 servers without client requests.
 func idleSimulation(t *testing.T) *Simulation {
 	t.Helper()
 	cfg := testConfig(0, 6, 0)
@@ -14,14 +14,14 @@
 	return newSimulation(t, cfg)
 }
 
-// addRequest makes a sidecar have a request in progress that its Balancer does not know.
+// addRequest adds a request in progress to a sidecar without passing it to its Balancer.
 func addRequest(s *simSidecar, class int) *request {
 	r := &request{call: &clientCall{class: class}, id: 1 << 40, sidecar: s, incarnation: s.incarnation}
 	s.requests[r.id] = r
 	return r
 }
 
-// invariantViolations violate each invariant in each way that the simulation has to detect, once.
+// invariantViolations violate each invariant once, in each way that the simulation has to detect.
 var invariantViolations = []struct {
 	name      string
 	invariant Invariant
@@ -45,19 +45,19 @@
 		sim.executionStarted(&attempt{request: r})
 		s.Reject(r.id, 0)
 	}},
-	{"send more than 1 s after a list said so", NoSendWhileDraining, func(sim *Simulation, s *simSidecar) {
+	{"send more than 1 s after a drain notice", NoSendWhileDraining, func(sim *Simulation, s *simSidecar) {
 		s.drainNotices[sim.servers[1].id] = sim.clock.now - time.Second - 1
 		sim.checkSend(s, sim.servers[1])
 		sim.checkSend(s, sim.servers[2])
 	}},
-	{"send more than 7 s after discovery knew it", NoSendWhileDraining, func(sim *Simulation, s *simSidecar) {
+	{"send more than 7 s after discovery listed the server as draining", NoSendWhileDraining, func(sim *Simulation, s *simSidecar) {
 		sim.Run(10 * time.Second)
 		sim.servers[1].drainingSince = sim.clock.now - 7*time.Second - 1
 		sim.servers[2].drainingSince = sim.clock.now - 7*time.Second
 		sim.checkSend(s, sim.servers[1])
 		sim.checkSend(s, sim.servers[2])
 	}},
-	{"one request more than the budget", SlowStartBudget, func(sim *Simulation, _ *simSidecar) {
+	{"one request over the slow-start budget", SlowStartBudget, func(sim *Simulation, _ *simSidecar) {
 		server := sim.servers[1]
 		server.start()
 		for range int(server.slowStartBudget(0)) + 1 {
@@ -66,7 +66,8 @@
 	}},
 }
 
-// Each invariant is violated on purpose, once: the simulation must record just that.
+// Without this check, a simulation could miss violations and every other test would still pass. Each case
+// violates one invariant once, and the simulation must record exactly that violation.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, test := range invariantViolations {
 		t.Run(test.name, func(t *testing.T) {
@@ -74,14 +75,14 @@
 			sim.Run(time.Second)
 			test.violate(sim, sim.sidecars[0])
 			if v := sim.Violations(); v.Counts[test.invariant] != 1 || v.Total() != 1 {
-				t.Errorf("violations %v, want one of %v: %q", v.Counts, test.invariant, v.Details)
+				t.Errorf("violations = %v, want only one of %v: %q", v.Counts, test.invariant, v.Details)
 			}
 		})
 	}
 }
 
-// submitWithoutResponse submits a request and drops all events but the check at its client's timeout, so that the
-// Balancer never responds.
+// submitWithoutResponse submits a request and drops all events except the check after the timeout of its
+// client, so that the Balancer never responds.
 func submitWithoutResponse(sim *Simulation, s *simSidecar) {
 	s.submit(&clientCall{class: idempotentClass, startedAt: sim.clock.now}, 0)
 	checkedAt := sim.clock.now + clientTimeout + responseSlack
@@ -89,8 +90,8 @@
 	sim.Run(2 * time.Second)
 }
 
-// A server drains while a region cannot reach discovery. Its sidecars do not count as notified until the partition
-// has healed, and then for as long as all others are given.
+// A server drains while one region cannot reach discovery. The sidecars of this region must not count as
+// notified until maxNoticeDelay after the partition has healed.
 func TestDrainNoticeNeedsReachableDiscovery(t *testing.T) {
 	sim := idleSimulation(t)
 	sim.PartitionRegions()
@@ -99,13 +100,15 @@
 	sim.Run(time.Minute)
 	local, remote := sim.sidecars[0], sim.sidecars[5]
 	if _, notified := sim.drainNoticeAt(remote, server); notified {
-		t.Error("a sidecar counts as notified, though it could not reach discovery")
+		t.Error("sidecar without access to discovery counts as notified, want not notified")
 	}
 	if at, notified := sim.drainNoticeAt(local, server); !notified || at != server.drainingSince+maxNoticeDelay {
-		t.Errorf("the sidecar in the region of discovery: notified %v at %v", notified, at)
+		t.Errorf("sidecar in the region of discovery: notified = %v at %v, want notified 6 s after the server started draining",
+			notified, at)
 	}
 	sim.HealPartition()
 	if at, notified := sim.drainNoticeAt(remote, server); !notified || at != sim.clock.now+maxNoticeDelay {
-		t.Errorf("notified %v at %v, want 6 s after %v", notified, at, sim.clock.now)
+		t.Errorf("sidecar after the partition: notified = %v at %v, want notified 6 s after %v",
+			notified, at, sim.clock.now)
 	}
 }
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -6,24 +6,28 @@
 )
 
 const (
-	// A segment that is lost is retransmitted after initialRetransmit, then after twice as long each time up to
-	// maxRetransmit, as TCP does with the first segment of a connection.
+	// initialRetransmit is the time after which a lost segment is first retransmitted. The time doubles
+	// with each further retransmission, as in TCP for the first segment of a connection.
 	initialRetransmit = time.Second
-	maxRetransmit     = 2 * time.Minute
 
-	// jitterSteps is the number of values that the jitter of a datagram can have.
+	// maxRetransmit is the upper bound of the time between retransmissions.
+	maxRetransmit = 2 * time.Minute
+
+	// jitterSteps is the number of different values that the jitter of a datagram can have.
 	jitterSteps = 20
 )
 
-// simNetwork delivers messages between zones, with a delay, unless a partition separates them.
+// simNetwork is the network between zones. It delivers messages after a delay, unless a partition separates
+// the zones.
 type simNetwork struct {
 	NetworkConfig
 	clock       *clock
 	rng         *rand.Rand
-	regions     []int    // by zone
-	partitioned [][]bool // by zone of the sender and of the recipient
+	regions     []int    // region of each zone
+	partitioned [][]bool // by the zones of the sender and the recipient
 }
 
+// newNetwork creates a network without partitions, and assigns contiguous ranges of zones to regions.
 func newNetwork(config NetworkConfig, c *clock, rng *rand.Rand, zones, regions int) *simNetwork {
 	n := &simNetwork{NetworkConfig: config, clock: c, rng: rng}
 	for zone := range zones {
@@ -33,10 +37,10 @@
 	return n
 }
 
-// region is the region of a zone.
+// region returns the region of a zone.
 func (n *simNetwork) region(zone int) int { return n.regions[zone] }
 
-// delay is the one-way delay between two zones.
+// delay returns the one-way delay between two zones.
 func (n *simNetwork) delay(from, to int) time.Duration {
 	switch {
 	case from == to:
@@ -47,8 +51,8 @@
 	return n.CrossRegionDelay
 }
 
-// sendOnce delivers a message of an attempt, at once where there is no delay. A partition drops it: the attempt
-// times out long before a retransmission.
+// sendOnce delivers a message of an attempt. If there is no delay, it calls deliver before it returns. A
+// partition drops the message, because the attempt times out long before a retransmission.
 func (n *simNetwork) sendOnce(from, to int, deliver func()) {
 	switch delay := n.delay(from, to); {
 	case n.partitioned[from][to]:
@@ -59,11 +63,13 @@
 	}
 }
 
-// sendReliable delivers a message over a connection that outlasts a partition: it is retransmitted until it arrives.
+// sendReliable delivers a message over a connection that survives a partition: the message is retransmitted
+// until it arrives.
 func (n *simNetwork) sendReliable(from, to int, deliver func()) {
 	n.sendWithRetransmit(from, to, initialRetransmit, deliver)
 }
 
+// sendWithRetransmit delivers a message, or schedules its retransmission during a partition.
 func (n *simNetwork) sendWithRetransmit(from, to int, retransmit time.Duration, deliver func()) {
 	if n.partitioned[from][to] {
 		n.clock.after(retransmit, func() {
@@ -74,7 +80,7 @@
 	n.clock.after(n.delay(from, to), deliver)
 }
 
-// datagramArrives draws whether a datagram arrives, and the step of its jitter.
+// datagramArrives draws whether a datagram arrives, and its jitter step if it does.
 func (n *simNetwork) datagramArrives(from, to int) (step int, arrives bool) {
 	if n.partitioned[from][to] || n.rng.Float64() >= 1-n.DatagramLoss {
 		return 0, false
@@ -85,7 +91,7 @@
 	return step, true
 }
 
-// datagramDelay is the delay of a datagram with that step of jitter.
+// datagramDelay returns the delay of a datagram with the given jitter step.
 func (n *simNetwork) datagramDelay(from, to, step int) time.Duration {
 	return n.delay(from, to) + n.DatagramMinDelay + n.DatagramJitter*time.Duration(step)/jitterSteps
 }
--- a/internal/fleetsim/propagation.go
+++ b/internal/fleetsim/propagation.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// propagationCheckInterval is how often the simulation checks which list versions all sidecars have.
+// propagationCheckInterval is the interval at which the simulation checks which list versions all sidecars
+// have.
 const propagationCheckInterval = 50 * time.Millisecond
 
 // propagation measures how long endpoint changes take to reach all sidecars.
 type propagation struct {
 	pending []pendingChange // in the order of their versions
-	times   []time.Duration // of the changes that have reached all
+	times   []time.Duration // of the changes that have reached all sidecars
 }
 
 // pendingChange is an endpoint change that has not reached all sidecars.
 type pendingChange struct {
-	version int64         // of the endpoint list with the change
-	since   time.Duration // when all sidecars that are up could get it
+	version      int64         // of the first endpoint list with the change
+	measuredFrom time.Duration // when the change was made, or when discovery later became reachable
 }
 
 // add starts the measurement of a change.
@@ -28,19 +29,19 @@
 // reset restarts the measurement of all pending changes.
 func (p *propagation) reset(now time.Duration) {
 	for i := range p.pending {
-		p.pending[i].since = now
+		p.pending[i].measuredFrom = now
 	}
 }
 
-// complete ends the measurement of the changes up to a version.
+// complete ends the measurement of all changes up to a version.
 func (p *propagation) complete(version int64, now time.Duration) {
 	for len(p.pending) > 0 && p.pending[0].version <= version {
-		p.times = append(p.times, now-p.pending[0].since)
+		p.times = append(p.times, now-p.pending[0].measuredFrom)
 		p.pending = p.pending[1:]
 	}
 }
 
-// updatePropagation ends the measurement of the changes that all sidecars have which are up.
+// updatePropagation ends the measurement of each change that all running sidecars have received.
 func (sim *Simulation) updatePropagation() {
 	if len(sim.propagation.pending) == 0 {
 		return
@@ -54,24 +55,26 @@
 	sim.propagation.complete(oldest, sim.clock.now)
 }
 
-// discoveryReachable reports whether discovery can be called from a zone.
+// discoveryReachable reports whether sidecars in a zone can reach discovery.
 func (sim *Simulation) discoveryReachable(zone int) bool {
 	return sim.discovery != nil && !sim.discovery.down && !sim.network.partitioned[0][zone]
 }
 
-// discoveryBecameReachable restarts the measurement of pending changes, as more sidecars can get them than before.
-func (sim *Simulation) discoveryBecameReachable(from func(zone int) bool) {
+// discoveryBecameReachable records that discovery has become reachable from the selected zones. It restarts
+// the measurement of pending changes, because their sidecars could not receive them before.
+func (sim *Simulation) discoveryBecameReachable(selected func(zone int) bool) {
 	for zone := range sim.discoveryReachableSince {
-		if from(zone) {
+		if selected(zone) {
 			sim.discoveryReachableSince[zone] = sim.clock.now
 		}
 	}
 	sim.propagation.reset(sim.clock.now)
 }
 
-// PropagationTimes returns for each endpoint change that has reached all sidecars how long it took. Where a sidecar
-// was down or could not reach discovery, the time counts from when it could. The resolution is 50 ms.
+// PropagationTimes returns, for each endpoint change that has reached all running sidecars, the time that it
+// took. If some sidecars could not reach discovery, the time counts from when discovery became reachable for
+// them. The resolution is 50 ms.
 func (sim *Simulation) PropagationTimes() []time.Duration { return slices.Clone(sim.propagation.times) }
 
-// PendingChanges is the number of endpoint changes that have not reached all sidecars.
+// PendingChanges returns the number of endpoint changes that have not reached all running sidecars.
 func (sim *Simulation) PendingChanges() int { return len(sim.propagation.pending) }
--- a/internal/fleetsim/scale_events_test.go
+++ b/internal/fleetsim/scale_events_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// eventRate is the rate of client requests per second for each sidecar during events.
-const eventRate = 0.5
+// eventRequestRate is the rate of client requests per second and sidecar while the events are simulated.
+const eventRequestRate = 0.5
 
 // assumedServers is the number of servers in the assumed fleet.
 const assumedServers = 11000
 
-// scaleEvent is an event in a fleet.
+// scaleEvent is a fault or a rolling update that is simulated in a fleet.
 type scaleEvent struct {
 	name string
 	run  func(*Simulation)
@@ -33,19 +33,19 @@
 	}},
 }
 
-// scaledCount scales a number of servers of the assumed fleet to a service. A fraction is rounded up or down at
-// random, but always the same for the same seed.
-func scaledCount(sim *Simulation, ofAssumed float64) int {
+// scaledCount scales a number of servers of the assumed fleet to the size of a service. A fraction is rounded
+// up or down at random, but the same seed always gives the same result.
+func scaledCount(sim *Simulation, assumed float64) int {
 	_, random := math.Modf(float64(sim.config.Seed) * math.Phi)
-	return int(ofAssumed*float64(len(sim.servers))/assumedServers + random)
+	return int(assumed*float64(len(sim.servers))/assumedServers + random)
 }
 
-// scaleEvents prints how endpoint changes propagate and what they cost, by the size of the fleet.
-func scaleEvents(t *testing.T, out *table) {
+// printEventTable prints how endpoint changes propagate and what they cost, by the size of the fleet.
+func printEventTable(t *testing.T, out *table) {
 	out.describe(
-		fmt.Sprintf("Events at size, at %v requests a second for each sidecar. Propagation: until the last sidecar that can be notified knows a change.", eventRate),
-		"A partition of an hour is simulated in 60 s (60:1) with 50 of 11,000 replaced, a day of 1,200 of 11,000 replaced in 72 s (1200:1);",
-		"times of the program are not scaled. A replaced server is three changes; discovery takes 0.1 ms a call and 2 us an entry, each service's by itself.")
+		fmt.Sprintf("Events by fleet size, at %v requests per second and sidecar. Propagation: time until the last sidecar that can be notified has a change.", eventRequestRate),
+		"A partition of 1 h is simulated in 60 s (60:1) with 50 of 11,000 servers replaced, a day with 1,200 of 11,000 servers replaced in 72 s (1200:1);",
+		"times of the program are not scaled. Replacing a server takes three changes; discovery takes 0.1 ms per call and 2 us per entry, and each service has its own.")
 	for _, e := range scaleEventCases {
 		for _, n := range []int{100, 1100, 11000} {
 			for _, form := range selectedForms(n) {
@@ -55,13 +55,13 @@
 	}
 }
 
-// simulate simulates the event in a fleet and returns its row.
-func (e scaleEvent) simulate(t *testing.T, n int, form fleetForm) []cell {
+// simulate simulates the event in a fleet and returns its table row.
+func (e scaleEvent) simulate(t *testing.T, n int, form fleetForm) []tableCell {
 	t.Helper()
 	sizes := form.sizes(n)
 	started := time.Now()
-	var largest time.Duration // discovery's processing time for the first service
-	fleet := fleetRun{eventRate, unchanged, func(sim *Simulation) {
+	var largest time.Duration // processing time of discovery for the largest service, which is the first
+	fleet := fleetRun{eventRequestRate, noChange, func(sim *Simulation) {
 		e.run(sim)
 		if sim.config.Seed == 0 {
 			largest = sim.Counts().Discovery.ProcessingTime
@@ -70,7 +70,7 @@
 	checkViolations(t, fleet)
 	c := &fleet.counts
 	perSidecar := func(count int64) float64 { return float64(count) / float64(fleet.sidecars) }
-	return []cell{
+	return []tableCell{
 		{"event", e.name},
 		{"sidecars", count(n)},
 		{"form", form.name},
--- a/internal/fleetsim/scale_sizes_test.go
+++ b/internal/fleetsim/scale_sizes_test.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	steadyRate   = 4.0 // client requests per second for each sidecar
-	steadyWarmUp = 2 * time.Second
-	steadyTime   = 5 * time.Second
-	idleWarmUp   = 15 * time.Second
-	idleTime     = 45 * time.Second // three watches
+	steadyRate     = 4.0              // client requests per second and sidecar
+	steadyWarmUp   = 2 * time.Second  // not counted
+	steadyDuration = 5 * time.Second  // measured with requests and gossip
+	idleWarmUp     = 15 * time.Second // not counted
+	idleDuration   = 45 * time.Second // measured without requests and gossip; as long as three watches
 )
 
-// scaleSizes prints what fleets without any fault cost, by their size.
-func scaleSizes(t *testing.T, out *table) {
+// printSizeTable prints what fleets without faults cost, by their size.
+func printSizeTable(t *testing.T, out *table) {
 	out.describe(
-		fmt.Sprintf("A steady fleet without faults. Gossip, requests and processor time are at %v requests a second for each sidecar", steadyRate),
-		fmt.Sprintf("(not 373: see the next table), for %v after %v; list calls and idle control are without requests and gossip, for %v after %v.",
-			steadyTime, steadyWarmUp, idleTime, idleWarmUp),
-		fmt.Sprintf("One gossip datagram sent goes to all. CPU is the real time in Balancers and in decoding, with %d services at once;", *scaleParallel),
-		"all share one machine's caches, and the measurement adds some 0.1 us to each datagram. Memory is the heap of the largest service, the simulation included.")
+		fmt.Sprintf("A steady fleet without faults. Gossip, requests and CPU time are at %v requests per second and sidecar", steadyRate),
+		fmt.Sprintf("(not 373: see the next table), for %v after %v; list calls and idle control are measured without requests and gossip, for %v after %v.",
+			steadyDuration, steadyWarmUp, idleDuration, idleWarmUp),
+		fmt.Sprintf("Each gossip datagram sent goes to all other sidecars. CPU is the real time in Balancers and in decoding, with %d services at once;", *scaleParallel),
+		"all services share the caches of one machine, and the measurement adds about 0.1 us per datagram. Memory is the heap of the largest service, including the simulation.")
 	for _, n := range []int{100, 300, 1000, 3000, 11000} {
 		for _, form := range selectedForms(n) {
-			out.row(scaleSize(t, n, form)...)
+			out.row(simulateSize(t, n, form)...)
 		}
 	}
 }
 
-// scaleSize simulates a fleet with and without requests, and returns its row.
-func scaleSize(t *testing.T, n int, form fleetForm) []cell {
+// simulateSize simulates a fleet with and without requests, and returns its table row.
+func simulateSize(t *testing.T, n int, form fleetForm) []tableCell {
 	t.Helper()
 	sizes := form.sizes(n)
 	memory := memoryPerSidecar(t, sizes[0])
 	started := time.Now()
-	steady := fleetRun{steadyRate, measureCPU, warmUpThenRun(steadyWarmUp, steadyTime)}.simulate(t, sizes, *scaleParallel)
-	idle := fleetRun{steadyRate, idleFleet, warmUpThenRun(idleWarmUp, idleTime)}.simulate(t, sizes, *scaleParallel)
+	steady := fleetRun{steadyRate, measureCPU, warmUpThenRun(steadyWarmUp, steadyDuration)}.simulate(t, sizes, *scaleParallel)
+	idle := fleetRun{steadyRate, idleFleet, warmUpThenRun(idleWarmUp, idleDuration)}.simulate(t, sizes, *scaleParallel)
 	checkViolations(t, steady)
 	checkViolations(t, idle)
 	s, i := &steady.counts, &idle.counts
-	steadyEach := func(count int64) float64 { return steady.perSidecarSecond(count, steadyTime) }
-	idleEach := func(count int64) float64 { return idle.perSidecarSecond(count, idleTime) }
-	return []cell{
+	steadyEach := func(count int64) float64 { return steady.perSidecarSecond(count, steadyDuration) }
+	idleEach := func(count int64) float64 { return idle.perSidecarSecond(count, idleDuration) }
+	return []tableCell{
 		{"sidecars", count(n)},
 		{"form", form.name},
 		{"services", count(len(sizes))},
@@ -59,13 +59,14 @@
 		{"control % of a core", float(3, 100*steadyEach(int64(s.ControlCPU))/1e9)},
 		{"idle control %", float(4, 100*idleEach(int64(i.ControlCPU))/1e9)},
 		{"memory KB", float(0, memory/1024)},
-		{"discovery calls/s", float(1, float64(i.Discovery.Processed)/idleTime.Seconds())},
+		{"discovery calls/s", float(1, float64(i.Discovery.Processed)/idleDuration.Seconds())},
 		{"violations", count(steady.violations.Total() + idle.violations.Total())},
 		{"run time", time.Since(started).Round(time.Second).String()},
 	}
 }
 
-// memoryPerSidecar is the heap in bytes of a service after 3 s, with all of its simulation, per sidecar.
+// memoryPerSidecar returns the heap size per sidecar of a service after 3 s, in bytes, including the
+// simulation.
 func memoryPerSidecar(t *testing.T, size int) float64 {
 	t.Helper()
 	before := heapInUse()
@@ -76,7 +77,7 @@
 	return (after - before) / float64(size)
 }
 
-// heapInUse is the size of the live heap in bytes.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/fleetsim/scale_test.go
+++ b/internal/fleetsim/scale_test.go
@@ -11,30 +11,31 @@
 )
 
 var (
-	scale            = flag.Bool("scale", false, "TestScale simulates large fleets and prints its tables (with -v)")
-	scaleMaxSidecars = flag.Int("scale.most", 11000, "TestScale simulates fleets of at most so many sidecars")
-	scaleParallel    = flag.Int("scale.at", 4, "TestScale simulates so many services at once")
-	scaleForm        = flag.String("scale.form", "", "TestScale divides the sidecars into few or many services; both if it is empty")
-	scalePart        = flag.String("scale.part", "", "TestScale runs one part: sizes, busy or events; all if it is empty")
+	scale            = flag.Bool("scale", false, "TestScale simulates large fleets and prints tables of their cost (with -v)")
+	scaleMaxSidecars = flag.Int("scale.most", 11000, "TestScale: maximum number of sidecars of a fleet")
+	scaleParallel    = flag.Int("scale.at", 4, "TestScale: number of services to simulate concurrently")
+	scaleForm        = flag.String("scale.form", "", "TestScale: how to divide sidecars into services, few or many; empty for both")
+	scalePart        = flag.String("scale.part", "", "TestScale: the part to run, sizes, busy or events; empty for all")
 )
 
 const (
-	maxLargeServiceSize = 1100 // sidecars of a service in a fleet of few services
-	meanServiceSize     = 16.4 // sidecars of a service in a fleet of many services: 11,000 in 670
+	maxLargeServiceSize = 1100 // maximum sidecars per service in a fleet of few services
+	meanServiceSize     = 16.4 // mean sidecars per service in a fleet of many services: 11,000 in 670
 )
 
 // fleetForm is a way to divide a fleet into services.
 type fleetForm struct {
 	name  string
-	sizes func(sidecars int) []int // of the services, the largest first
+	sizes func(sidecars int) []int // returns the numbers of sidecars of the services, the largest first
 }
 
 var fleetForms = []fleetForm{
 	{"few", func(n int) []int { return EvenSizes(n, maxLargeServiceSize) }},
-	{"many", func(n int) []int { return Sizes(n, int(float64(n)/meanServiceSize)) }},
+	{"many", func(n int) []int { return ZipfSizes(n, int(float64(n)/meanServiceSize)) }},
 }
 
-// selectedForms returns the forms that -scale.form selects for a fleet, none if it has more than -scale.most sidecars.
+// selectedForms returns the forms that -scale.form selects for a fleet, or none if the fleet has more than
+// -scale.most sidecars.
 func selectedForms(sidecars int) (forms []fleetForm) {
 	if sidecars > *scaleMaxSidecars {
 		return nil
@@ -58,7 +59,7 @@
 	err              error
 }
 
-// add adds the result of a service. It takes the description of the first violation only.
+// add adds the result of a service. Of its violation details, it keeps only the first.
 func (f *fleetResult) add(service fleetResult) {
 	f.counts.Add(&service.counts)
 	for i, count := range service.violations.Counts {
@@ -76,23 +77,23 @@
 	}
 }
 
-// perSidecarSecond is a count over all sidecars for a time, as a rate of one sidecar.
+// perSidecarSecond converts a count over all sidecars and a duration d to a rate per second and sidecar.
 func (f *fleetResult) perSidecarSecond(count int64, d time.Duration) float64 {
 	return float64(count) / float64(f.sidecars) / d.Seconds()
 }
 
-// fleetRun is how to simulate each service of a fleet.
+// fleetRun describes how to simulate each service of a fleet.
 type fleetRun struct {
-	ratePerSidecar float64       // client requests per second
-	configure      func(*Config) // changes testConfig
-	run            func(*Simulation)
+	ratePerSidecar float64           // client requests per second
+	configure      func(*Config)     // modifies testConfig
+	run            func(*Simulation) // advances the simulation
 }
 
-// simulate simulates services of these sizes, at most parallel at once.
+// simulate simulates services of the given sizes, at most parallel of them concurrently.
 func (r fleetRun) simulate(t testing.TB, sizes []int, parallel int) fleetResult {
 	t.Helper()
 	var total fleetResult
-	if err := RunAll(sizes, parallel, r.service, total.add); err != nil {
+	if err := RunAll(sizes, parallel, r.simulateService, total.add); err != nil {
 		t.Fatal(err)
 	}
 	if total.err != nil {
@@ -101,8 +102,8 @@
 	return total
 }
 
-// service simulates one service, with its index as the seed.
-func (r fleetRun) service(index, size int) (fleetResult, error) {
+// simulateService simulates one service, with its index as the seed.
+func (r fleetRun) simulateService(index, size int) (fleetResult, error) {
 	cfg := testConfig(uint64(index), size, r.ratePerSidecar)
 	r.configure(&cfg)
 	sim, err := New(cfg)
@@ -113,16 +114,18 @@
 	return fleetResult{sim.Counts(), sim.Violations(), sim.PropagationTimes(), sim.PendingChanges(), sim.Digest(), size, sim.Err()}, nil
 }
 
-// unchanged configures nothing.
-func unchanged(*Config) {}
+// noChange keeps testConfig as it is.
+func noChange(*Config) {}
 
-// measureCPU configures a measurement of processor time.
+// measureCPU enables the measurement of CPU time.
 func measureCPU(c *Config) { c.MeasureCPU = true }
 
-// idleFleet configures a fleet without requests and gossip: only watches and timers remain.
+// idleFleet disables requests and gossip, so that only watches and timers remain, and enables the measurement
+// of CPU time.
 func idleFleet(c *Config) { c.MeasureCPU, c.RequestRate, c.Policy.CanGossip = true, 0, false }
 
-// warmUpThenRun runs a warm-up that is not counted, and then d.
+// warmUpThenRun returns a function that runs a warm-up, which is not counted, and then runs the simulation
+// for d.
 func warmUpThenRun(warmUp, d time.Duration) func(*Simulation) {
 	return func(sim *Simulation) {
 		sim.Run(warmUp)
@@ -131,28 +134,30 @@
 	}
 }
 
-// checkViolations fails the test for violations.
+// checkViolations fails the test for invariant violations.
 func checkViolations(t *testing.T, f fleetResult) {
 	t.Helper()
 	if f.violations.Total() > 0 {
-		t.Errorf("violations %v, for example %q", f.violations.Counts, f.violations.Details[:min(3, len(f.violations.Details))])
+		t.Errorf("invariant violations = %v, want none; for example %q",
+			f.violations.Counts, f.violations.Details[:min(3, len(f.violations.Details))])
 	}
 }
 
-// The small form of TestScale: counts do not depend on how many services are simulated at once, and no invariant is
-// violated.
+// TestSmallScale runs the simulations of TestScale in small fleets. Counts must not depend on how many
+// services are simulated concurrently, and no invariant may be violated.
 func TestSmallScale(t *testing.T) {
-	steady := fleetRun{4, unchanged, warmUpThenRun(2*time.Second, 3*time.Second)}
+	steady := fleetRun{4, noChange, warmUpThenRun(2*time.Second, 3*time.Second)}
 	for _, n := range []int{100, 300} {
 		for _, form := range fleetForms {
 			t.Run(fmt.Sprintf("%d sidecars in %s services", n, form.name), func(t *testing.T) {
 				sizes := form.sizes(n)
 				serial, parallel := steady.simulate(t, sizes, 1), steady.simulate(t, sizes, 4)
 				if serial.digest != parallel.digest || serial.counts != parallel.counts || serial.counts.Gossip.Received.Messages == 0 {
-					t.Errorf("one at a time %x %+v, four at once %x %+v", serial.digest, serial.counts, parallel.digest, parallel.counts)
+					t.Errorf("one service at a time: digest %x, counts %+v; four concurrently: digest %x, counts %+v; want the same, with gossip",
+						serial.digest, serial.counts, parallel.digest, parallel.counts)
 				}
 				if serial.sidecars != n {
-					t.Errorf("%d of %d sidecars were simulated", serial.sidecars, n)
+					t.Errorf("simulated %d sidecars, want %d", serial.sidecars, n)
 				}
 				checkViolations(t, serial)
 			})
@@ -160,18 +165,18 @@
 	}
 }
 
-// TestScale prints tables of what large fleets cost, and checks that no invariant is violated.
+// TestScale prints tables of the cost of large fleets, and checks that no invariant is violated.
 func TestScale(t *testing.T) {
 	if !*scale {
-		t.Skip("takes minutes: -scale -v -timeout 60m")
+		t.Skip("takes minutes; run with -scale -v -timeout 60m")
 	}
 	for _, part := range []struct {
 		name string
 		run  func(*testing.T, *table)
 	}{
-		{"sizes", scaleSizes},
-		{"busy", scaleHighRate},
-		{"events", scaleEvents},
+		{"sizes", printSizeTable},
+		{"busy", printHighRateTable},
+		{"events", printEventTable},
 	} {
 		if *scalePart == "" || *scalePart == part.name {
 			out := newTable()
@@ -181,14 +186,14 @@
 	}
 }
 
-// table prints aligned rows to standard output, with a header before the first.
+// table prints aligned rows to standard output, with a header before the first row.
 type table struct {
 	out       *tabwriter.Writer
 	hasHeader bool
 }
 
-// cell is a value of a row and the title of its column.
-type cell struct{ title, value string }
+// tableCell is a value of a row and the title of its column.
+type tableCell struct{ title, value string }
 
 func newTable() *table {
 	return &table{out: tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)}
@@ -202,16 +207,16 @@
 	}
 }
 
-// row prints a row; all rows of a table must have the same columns.
-func (t *table) row(cells ...cell) {
+// row prints a row. All rows of a table must have the same columns.
+func (t *table) row(cells ...tableCell) {
 	if !t.hasHeader {
 		t.hasHeader = true
-		t.print(cells, func(c cell) string { return c.title })
+		t.print(cells, func(c tableCell) string { return c.title })
 	}
-	t.print(cells, func(c cell) string { return c.value })
+	t.print(cells, func(c tableCell) string { return c.value })
 }
 
-func (t *table) print(cells []cell, text func(cell) string) {
+func (t *table) print(cells []tableCell, text func(tableCell) string) {
 	for _, c := range cells {
 		fmt.Fprint(t.out, text(c), "\t")
 	}
@@ -225,12 +230,13 @@
 	}
 }
 
-// count and float format a value for a cell.
+// count formats an integer for a table cell.
 func count[T int | int64](n T) string { return fmt.Sprint(n) }
 
+// float formats a floating-point number with the given number of decimals for a table cell.
 func float(digits int, x float64) string { return fmt.Sprintf("%.*f", digits, x) }
 
-// median is the median of durations, and 0 if there is none.
+// median returns the median of durations, or 0 if there are none.
 func median(durations []time.Duration) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -9,64 +9,70 @@
 )
 
 const (
-	// slowStartWindow is the time for which a server in slow start has one budget of requests.
+	// slowStartWindow is the length of the windows of a slow start. Each window has its own budget of
+	// requests.
 	slowStartWindow = 1 * time.Second
 
-	// A service time has a constant part and an exponentially distributed one, as fractions of the mean.
-	constantServiceFraction    = 0.25
+	// constantServiceFraction is the constant part of a service time, as a fraction of the mean.
+	constantServiceFraction = 0.25
+
+	// exponentialServiceFraction is the mean of the exponentially distributed part of a service time, as a
+	// fraction of the mean.
 	exponentialServiceFraction = 0.75
 
-	// An overloaded server takes overloadFactorTenths/10 of the usual time.
-	overloadFactorTenths = 25
+	// overloadSlowdownTenths is the factor, in tenths, by which an overload lengthens service times.
+	overloadSlowdownTenths = 25
 )
 
 // simServer is a simulated server.
 type simServer struct {
 	sim         *Simulation
-	name        string // its instanceId
+	name        string // instanceId in the endpoint list
 	id          policy.EndpointID
 	zone        int
-	startedAt   time.Duration // 0 for servers that were up before the simulation
+	startedAt   time.Duration // 0 if the server was up before the simulation started
 	incarnation int           // incremented at each start and stop
-	down        bool          // the process has stopped
-	hostFailed  bool          // the host too, so that it does not even reset connections
+	down        bool          // the process is not running
+	hostFailed  bool          // the host has failed too, so connections are not even reset
 
-	queue              []*attempt // in flight, in the order of arrival
-	executing          int        // the first so many of the queue are executing, each on a core
-	overThresholdSince time.Duration
+	queue              []*attempt    // attempts in flight, in the order of arrival
+	executing          int           // number of attempts being executed, which are the first ones in queue
+	overThresholdSince time.Duration // when the queue exceeded the overload threshold; 0 if it is not above
 	lastCompletion     time.Duration
 	overloaded         bool
 
 	slowStart     slowStartCounter
-	drainingSince time.Duration // when discovery knew that it drains or is gone; 0 if it is ready
+	drainingSince time.Duration // when discovery listed the server as draining or removed; 0 if it is ready
 }
 
-// slowStartCounter counts the requests of a server in the current window of its slow start.
+// slowStartCounter counts the requests that a server receives in the current window of its slow start.
 type slowStartCounter struct{ window, requests int }
 
-// capacity is the fraction of its full capacity that the server has at an age.
+// capacity returns the capacity of the server at the given age, as a fraction of its full capacity.
 func (server *simServer) capacity(age time.Duration) float64 {
-	p := &server.sim.config.Policy
-	if server.startedAt == 0 || age >= p.SlowStartDuration {
+	policyConfig := &server.sim.config.Policy
+	if server.startedAt == 0 || age >= policyConfig.SlowStartDuration {
 		return 1
 	}
-	return p.SlowStartFraction + (1-p.SlowStartFraction)*float64(age)/float64(p.SlowStartDuration)
+	return policyConfig.SlowStartFraction + (1-policyConfig.SlowStartFraction)*float64(age)/float64(policyConfig.SlowStartDuration)
 }
 
-// slowStartBudget is how many requests a server in slow start may get in a window: OverloadFactor times what it can
-// execute, and an allowance of two standard deviations and two for random arrivals.
+// slowStartBudget returns how many requests a server in slow start may receive in a window: OverloadFactor
+// times the number that it can execute, plus two standard deviations and two requests to allow for random
+// arrivals.
 func (server *simServer) slowStartBudget(window int) float64 {
 	config := &server.sim.config
 	middle := time.Duration(window)*slowStartWindow + slowStartWindow/2
-	n := config.Policy.OverloadFactor * server.capacity(middle) *
+	expected := config.Policy.OverloadFactor * server.capacity(middle) *
 		float64(config.Server.Cores) * float64(slowStartWindow) / float64(config.Server.ServiceTime)
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// countSlowStartRequest counts a request during the slow start, and checks SlowStartBudget.
+// countSlowStartRequest counts a request received during slow start and checks SlowStartBudget. A server that
+// exceeds its budget becomes overloaded.
 func (server *simServer) countSlowStartRequest() {
-	p, age := &server.sim.config.Policy, server.sim.clock.now-server.startedAt
-	if server.startedAt == 0 || age >= p.SlowStartDuration || p.OverloadFactor == 0 {
+	policyConfig, age := &server.sim.config.Policy, server.sim.clock.now-server.startedAt
+	if server.startedAt == 0 || age >= policyConfig.SlowStartDuration || policyConfig.OverloadFactor == 0 {
 		return
 	}
 	counter := &server.slowStart
@@ -75,17 +81,17 @@
 	}
 	counter.requests++
 	if float64(counter.requests) > server.slowStartBudget(counter.window) {
-		server.sim.recordViolation(SlowStartBudget, "server %s got %d requests in second %d after its start",
+		server.sim.recordViolation(SlowStartBudget, "server %s received %d requests in window %d of its slow start",
 			server.name, counter.requests, counter.window)
 		server.overloaded = true
 	}
 }
 
-// receive takes an attempt that has arrived.
+// receive handles an attempt that has arrived.
 func (server *simServer) receive(a *attempt) {
 	server.sim.counts.ServerAttempts.Received.add(requestBytes)
 	switch {
-	case server.hostFailed: // no response, not even a reset
+	case server.hostFailed: // no response, not even a connection reset
 		return
 	case server.down:
 		server.reportFailure(a, policy.ConnectFailed)
@@ -105,7 +111,8 @@
 	return len(server.queue) > config.OverloadQueue*config.Cores
 }
 
-// startExecutions begins to execute queued attempts as long as a core is idle.
+// startExecutions starts to execute queued attempts while a core is idle. It ends an overload if the server
+// has been idle for long enough.
 func (server *simServer) startExecutions() {
 	sim := server.sim
 	for !server.down && server.executing < min(sim.config.Server.Cores, len(server.queue)) {
@@ -124,19 +131,20 @@
 	}
 }
 
-// drawServiceTime draws how long the next request takes.
+// drawServiceTime draws the service time of the next request.
 func (server *simServer) drawServiceTime() time.Duration {
 	sim := server.sim
 	factor := constantServiceFraction + exponentialServiceFraction*sim.rng.ExpFloat64()
 	age := sim.clock.now - server.startedAt
 	serviceTime := time.Duration(factor * float64(sim.config.Server.ServiceTime) / server.capacity(age))
 	if server.overloaded {
-		return serviceTime * overloadFactorTenths / 10
+		return serviceTime * overloadSlowdownTenths / 10
 	}
 	return serviceTime
 }
 
-// complete responds to an attempt that was executed.
+// complete ends the execution of an attempt and sends the response. It updates the overload state and starts
+// the next execution.
 func (server *simServer) complete(a *attempt) {
 	sim := server.sim
 	server.executing--
@@ -154,14 +162,14 @@
 	server.startExecutions()
 }
 
-// cancel removes an attempt from the queue, unless it is executing: then it is executed to its end.
+// cancel removes an attempt from the queue. An attempt that is being executed runs to completion.
 func (server *simServer) cancel(a *attempt) {
 	if i := slices.Index(server.queue, a); i >= server.executing {
 		server.queue = slices.Delete(server.queue, i, i+1)
 	}
 }
 
-// stop ends the process. Its connections are reset, unless the host has failed too.
+// stop stops the process. Its connections are reset, unless the host has failed too.
 func (server *simServer) stop(hostFailed bool) {
 	server.down, server.hostFailed = true, hostFailed
 	server.incarnation++
@@ -173,8 +181,8 @@
 	server.queue, server.executing, server.overThresholdSince = nil, 0, 0
 }
 
-// reportFailure reports to a sidecar that an attempt ended without a response. It is an event of its own, as the
-// Balancer may be in a call of Send.
+// reportFailure reports to a sidecar that an attempt ended without a response. It schedules an event for
+// this, because the Balancer may be in the middle of a call to Send.
 func (server *simServer) reportFailure(a *attempt, result policy.Result) {
 	s := a.request.sidecar
 	server.sim.clock.after(0, func() {
@@ -182,7 +190,7 @@
 	})
 }
 
-// start begins a new process, in slow start.
+// start starts a new process, which is in slow start.
 func (server *simServer) start() {
 	server.incarnation++
 	server.down, server.hostFailed, server.overloaded = false, false, false
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -10,29 +10,31 @@
 	"cranehatch/policy"
 )
 
-// incarnationShift is the bit of a Balancer's seed at which the incarnation of its sidecar begins.
+// incarnationShift is the position of the incarnation in the seed of a Balancer; the lower bits are the
+// sidecar's index.
 const incarnationShift = 40
 
-// minTimer is the shortest timer that a sidecar sets.
-const minTimer = time.Millisecond
+// minTimerDuration is the shortest duration of a timer of a sidecar.
+const minTimerDuration = time.Millisecond
 
-// simSidecar is a simulated sidecar: it is the policy.Host of a real Balancer, and simulates its clients.
+// simSidecar is a simulated sidecar. It is the policy.Host of a real Balancer, and it also simulates the
+// sidecar's clients.
 type simSidecar struct {
 	sim         *Simulation
 	balancer    *policy.Balancer // nil while the sidecar is down
 	index       int
 	zone        int
-	incarnation int     // incremented at each stop
-	requestRate float64 // of its clients, in requests per second
-	highRate    bool    // it is one of Config.HighRateSidecars
+	incarnation int     // incremented each time the sidecar stops
+	requestRate float64 // of client requests, in requests per second
+	highRate    bool    // whether it is one of Config.HighRateSidecars
 
-	requests     map[policy.RequestID]*request       // in progress
-	drainNotices map[policy.EndpointID]time.Duration // when an endpoint list said that a server drains or is gone
+	requests     map[policy.RequestID]*request       // in progress, by ID
+	drainNotices map[policy.EndpointID]time.Duration // when a list first reported the server draining or gone
 	endpoints    endpointClient
 }
 
-// newSidecar creates a sidecar and draws its request rate, which New scales to Config.RequestRate. The rates have a
-// log-normal distribution: some are many times those of others.
+// newSidecar creates a sidecar and draws its request rate, which addSidecars scales to Config.RequestRate.
+// The rates have a log-normal distribution, so some are many times higher than others.
 func newSidecar(sim *Simulation, index int) *simSidecar {
 	s := &simSidecar{
 		sim:         sim,
@@ -48,8 +50,8 @@
 	return s
 }
 
-// start gives the sidecar a new Balancer and, if it is not nil, an endpoint list that it has from before. It returns
-// an error if the Balancer's settings are invalid.
+// start creates and starts the sidecar's Balancer. A non-nil list is the endpoint list that the sidecar has
+// at its start. start returns an error if the Balancer's configuration is invalid.
 func (s *simSidecar) start(list *endpointlist.List) error {
 	balancer, err := s.newBalancer(s)
 	if err != nil {
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// newBalancer creates a Balancer of this sidecar for a host. Its random draws depend on the index and the
-// incarnation of the sidecar; Config.Seed is for the world around it.
+// newBalancer creates a Balancer for this sidecar with the given host. Its random draws depend on the index
+// and the incarnation of the sidecar; Config.Seed affects only the simulated environment.
 func (s *simSidecar) newBalancer(host policy.Host) (*policy.Balancer, error) {
 	config := s.sim.config.Policy
 	config.Balancers, config.Index, config.Zone = len(s.sim.sidecars), s.index, s.zone
@@ -81,29 +83,30 @@
 	return policy.New(config, seed, host)
 }
 
-// stop ends the sidecar and its clients.
+// stop stops the sidecar and its clients.
 func (s *simSidecar) stop() {
 	s.incarnation++
 	s.balancer, s.requests = nil, nil
 	s.endpoints.cancelCalls()
 }
 
-// receiveGossip takes a datagram of another sidecar.
+// receiveGossip handles a datagram from another sidecar.
 func (s *simSidecar) receiveGossip(sender int, datagram []byte) {
 	if s.balancer == nil {
 		return
 	}
 	s.sim.counts.Gossip.Received.add(len(datagram) + datagramHeaderBytes)
-	started := s.startCPU()
-	if n, err := gossip.Decode(datagram); err == nil {
-		s.balancer.ReceiveGossip(s.sim.clock.now, sender, n)
+	started := s.startCPUTimer()
+	if message, err := gossip.Decode(datagram); err == nil {
+		s.balancer.ReceiveGossip(s.sim.clock.now, sender, message)
 	}
-	s.chargeControl(started)
+	s.addControlCPU(started)
 }
 
-// Broadcast sends a gossip message to all other sidecars. Each gets it a little later, or not at all.
-func (s *simSidecar) Broadcast(n policy.GossipMessage) {
-	sim, datagram := s.sim, gossip.Encode(n)
+// Broadcast sends a gossip message to all other sidecars that are up. The network delays each datagram or
+// loses it.
+func (s *simSidecar) Broadcast(message policy.GossipMessage) {
+	sim, datagram := s.sim, gossip.Encode(message)
 	sim.counts.Gossip.Sent.add(len(datagram) + datagramHeaderBytes)
 	for i, recipients := range s.drawRecipients() {
 		if len(recipients) > 0 {
@@ -113,7 +116,8 @@
 	}
 }
 
-// drawRecipients draws which sidecars a datagram reaches, by zone and step of the jitter.
+// drawRecipients draws which sidecars a datagram reaches. It groups them by zone and jitter step: the index
+// is zone*jitterSteps + step.
 func (s *simSidecar) drawRecipients() [][]*simSidecar {
 	sim := s.sim
 	recipients := make([][]*simSidecar, sim.config.Zones*jitterSteps)
@@ -132,20 +136,20 @@
 	return recipients
 }
 
-// SetTimer sets a timer, with a resolution of a millisecond as in the real sidecar.
+// SetTimer sets a timer for TimerFired. Timers are at least 1 ms, the resolution of the real sidecar.
 func (s *simSidecar) SetTimer(d time.Duration) {
 	incarnation := s.incarnation
-	s.sim.clock.after(max(d, minTimer), func() {
+	s.sim.clock.after(max(d, minTimerDuration), func() {
 		if s.incarnation != incarnation {
 			return
 		}
-		started := s.startCPU()
+		started := s.startCPUTimer()
 		s.balancer.TimerFired(s.sim.clock.now)
-		s.chargeControl(started)
+		s.addControlCPU(started)
 	})
 }
 
-// WatchEndpoints begins to follow the endpoint list.
+// WatchEndpoints starts following the endpoint list.
 func (s *simSidecar) WatchEndpoints() {
 	if s.sim.discovery != nil {
 		s.endpoints.requested = true
@@ -153,11 +157,11 @@
 	}
 }
 
-// CloseIdle does nothing: simulated servers keep no connections.
+// CloseIdle is a no-op: simulated servers have no connections.
 func (s *simSidecar) CloseIdle(policy.EndpointID) {}
 
-// HealthCheck does nothing: simulated servers report no load.
+// HealthCheck is a no-op: simulated servers report no load.
 func (s *simSidecar) HealthCheck(policy.EndpointID) {}
 
-// Log does nothing: its lines are for people.
+// Log is a no-op: health events are information for operators.
 func (s *simSidecar) Log(policy.HealthEvent) {}
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -1,12 +1,13 @@
-// Package fleetsim simulates the sidecars of one service, its servers, its discovery service and the network between
-// them in one process, to measure what only shows in a fleet. Each simulated sidecar runs a real policy.Balancer and
-// the real formats of gossip messages and endpoint lists; everything else is a model on a fake clock.
+// Package fleetsim simulates one service in one process: its sidecars, its servers, its discovery service and
+// the network between them. It measures effects that appear only in a fleet. Each simulated sidecar runs a
+// real policy.Balancer and uses the real encodings of gossip messages and endpoint lists. Everything else is
+// a model that runs on a fake clock.
 //
-// A simulation is deterministic: the same Config gives the same events, as all random draws come from its seed and
-// nothing depends on the real clock or on the order of a map.
+// A simulation is deterministic: the same Config produces the same events, because all random draws come from
+// seeded generators, and nothing depends on the real clock or on the iteration order of a map.
 //
-// A Simulation must only be used by one goroutine at a time. Simulations are independent of one another, so RunAll
-// runs several at once.
+// A Simulation must be used by only one goroutine at a time. Simulations are independent of one another, so
+// RunAll can run several concurrently.
 package fleetsim
 
 import (
@@ -19,42 +20,43 @@
 )
 
 const (
-	// startTime is the time on the fake clock at which a simulation starts.
+	// startTime is the time on the fake clock when a simulation starts.
 	startTime = time.Second
 
-	// inFlightSampleInterval is how often the requests in flight at servers are sampled.
+	// inFlightSampleInterval is the interval at which the requests in flight at servers are sampled.
 	inFlightSampleInterval = 10 * time.Millisecond
 
-	// worldStream is the random stream of the simulated world for Config.Seed.
-	worldStream = 2
+	// rngStream is the stream of the random generator that Config.Seed seeds.
+	rngStream = 2
 )
 
 // Simulation is the simulated fleet of one service.
 type Simulation struct {
-	config      Config
-	clock       *clock
-	rng         *rand.Rand
-	network     *simNetwork
-	discovery   *simDiscovery // nil if the endpoint list never changes
-	servers     []*simServer
-	serverByID  map[policy.EndpointID]*simServer
-	sidecars    []*simSidecar
-	zones       map[string]int // by name
-	lastRequest policy.RequestID
-	startErrors error // of sidecars that could not restart
+	config        Config
+	clock         *clock
+	rng           *rand.Rand
+	network       *simNetwork
+	discovery     *simDiscovery // nil if the endpoint list never changes
+	servers       []*simServer
+	serverByID    map[policy.EndpointID]*simServer
+	sidecars      []*simSidecar
+	zones         map[string]int // zone numbers by name
+	lastRequestID policy.RequestID
+	restartErrors error // of sidecars that failed to restart
 
 	classCounts     []ClassCounts
 	counts          Counts
 	violations      Violations
 	digest          uint64
-	inFlightSum     float64 // mean requests in flight per server, summed over samples
-	inFlightSamples int
+	inFlightSum     float64 // sum over all samples of the mean number of requests in flight per server
+	inFlightSamples int     // number of samples in inFlightSum
 
 	propagation             propagation
-	discoveryReachableSince []time.Duration // by zone
+	discoveryReachableSince []time.Duration // by zone: when discovery last became reachable
 }
 
-// New starts the fleet. It returns an error if the settings cannot be simulated or are invalid for a Balancer.
+// New creates and starts the fleet that config describes. It returns an error if the fleet cannot be
+// simulated or if config.Policy is invalid for a Balancer.
 func New(config Config) (*Simulation, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -62,7 +64,7 @@
 	sim := &Simulation{
 		config:                  config,
 		clock:                   &clock{now: startTime},
-		rng:                     rand.New(rand.NewPCG(config.Seed, worldStream)),
+		rng:                     rand.New(rand.NewPCG(config.Seed, rngStream)),
 		serverByID:              make(map[policy.EndpointID]*simServer),
 		zones:                   make(map[string]int),
 		classCounts:             make([]ClassCounts, len(config.Policy.Classes)),
@@ -99,7 +101,7 @@
 	}
 }
 
-// addDiscovery creates the discovery service, if there is one, and returns the initial endpoint list.
+// addDiscovery creates the discovery service if one is configured, and returns the initial endpoint list.
 func (sim *Simulation) addDiscovery() (endpointlist.List, error) {
 	discovery := newDiscovery(sim, DiscoveryConfig{})
 	if sim.config.Discovery != nil {
@@ -109,13 +111,14 @@
 	if err != nil {
 		return endpointlist.List{}, err
 	}
-	for i := range list.Endpoints { // the initial list is in the order of the servers
+	for i := range list.Endpoints { // the initial list has one entry per server, in the same order
 		list.Endpoints[i].ID = sim.servers[i].id
 	}
 	return list, nil
 }
 
-// addSidecars creates the sidecars and sets their request rates.
+// addSidecars creates the sidecars and sets their request rates: HighRate for high-rate sidecars, and for the
+// others a share of Config.RequestRate.
 func (sim *Simulation) addSidecars() {
 	total := 0.0
 	for i := range sim.config.Sidecars {
@@ -131,7 +134,7 @@
 	}
 }
 
-// Run continues the simulation for d on the fake clock.
+// Run advances the simulation by d on the fake clock.
 func (sim *Simulation) Run(d time.Duration) {
 	end := sim.clock.now + d
 	nextSample, lastCheck := sim.clock.now, sim.clock.now
@@ -151,7 +154,7 @@
 	sim.updatePropagation()
 }
 
-// sampleInFlight samples how many requests are in flight at servers.
+// sampleInFlight adds a sample of the mean number of requests in flight per server.
 func (sim *Simulation) sampleInFlight() {
 	inFlight := 0
 	for _, server := range sim.servers {
@@ -161,24 +164,26 @@
 	sim.inFlightSum += float64(inFlight) / float64(len(sim.servers))
 }
 
-// ResetCounts restarts all counts, for instance after a warm-up. Violations and propagation times stay.
+// ResetCounts sets all counts to zero, for instance after a warm-up. Violations and propagation times are
+// kept.
 func (sim *Simulation) ResetCounts() {
 	clear(sim.classCounts)
 	sim.counts, sim.inFlightSum, sim.inFlightSamples = Counts{}, 0, 0
 }
 
-// Counts returns what was counted since the start or the last ResetCounts.
+// Counts returns the counts since the start or the last call of ResetCounts.
 func (sim *Simulation) Counts() Counts { return sim.counts }
 
-// Class returns the counts of the class with that index in policy.Config.Classes.
+// Class returns the counts of the class with the given index in policy.Config.Classes.
 func (sim *Simulation) Class(class int) ClassCounts { return sim.classCounts[class] }
 
-// MeanInFlight is the mean number of requests in flight at a server, queued or executing.
+// MeanInFlight returns the mean number of requests in flight per server, queued or executing.
 func (sim *Simulation) MeanInFlight() float64 {
 	return sim.inFlightSum / float64(max(1, sim.inFlightSamples))
 }
 
-// Goodput is the fraction of the requests, weighted by priority, that were answered within their latency objective.
+// Goodput returns the fraction of requests, weighted by priority, that were answered within their latency
+// objective.
 func (sim *Simulation) Goodput() float64 {
 	good, all := 0.0, 0.0
 	for i, c := range sim.classCounts {
@@ -191,11 +196,12 @@
 // Violations returns the invariant violations since the start.
 func (sim *Simulation) Violations() Violations { return sim.violations }
 
-// Err returns the errors of sidecars that could not restart, or nil.
-func (sim *Simulation) Err() error { return sim.startErrors }
+// Err returns the joined errors of sidecars that failed to restart, or nil.
+func (sim *Simulation) Err() error { return sim.restartErrors }
 
-// Digest is a hash of all requests, sends, results and endpoint lists, in their order.
+// Digest returns a hash of all requests, attempts, results and endpoint lists, in the order in which they
+// occurred.
 func (sim *Simulation) Digest() uint64 { return sim.digest }
 
-// Now is the time on the fake clock. It starts at 1 s.
+// Now returns the time on the fake clock, which starts at 1 s.
 func (sim *Simulation) Now() time.Duration { return sim.clock.now }
--- a/internal/fleetsim/sizes.go
+++ b/internal/fleetsim/sizes.go
@@ -3,10 +3,11 @@
 // minServiceSize is the number of sidecars in the smallest services.
 const minServiceSize = 2
 
-// Sizes distributes n sidecars over services by Zipf's law with exponent 1: the k-th largest service has about one
-// k-th of the sidecars of the largest, and none has fewer than two. 11,000 sidecars in 670 services are 16.4 each on
-// average; the largest service has some 1,550, and half of them have 5 or fewer.
-func Sizes(n, services int) []int {
+// ZipfSizes distributes n sidecars over services by Zipf's law with exponent 1: the k-th largest service has
+// about 1/k of the sidecars of the largest, and no service has fewer than two. For example, 11,000 sidecars
+// in 670 services are 16.4 per service on average; the largest service has about 1,550, and half of the
+// services have 5 or fewer.
+func ZipfSizes(n, services int) []int {
 	services = max(1, min(services, n/minServiceSize))
 	harmonic := 0.0
 	for k := 1; k <= services; k++ {
@@ -17,11 +18,11 @@
 		sizes[k] = max(minServiceSize, int(float64(n)/harmonic/float64(k+1)+0.5))
 		remainder -= sizes[k]
 	}
-	sizes[0] += remainder // the sum of all rounding errors
+	sizes[0] += remainder // the largest service absorbs all rounding errors
 	return sizes
 }
 
-// EvenSizes distributes n sidecars evenly over the smallest number of services that have at most maxSize each.
+// EvenSizes distributes n sidecars evenly over the smallest number of services of at most maxSize sidecars.
 func EvenSizes(n, maxSize int) []int {
 	services := (n + maxSize - 1) / maxSize
 	sizes := make([]int, services)
