--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -172,8 +172,8 @@
 	d.processNext()
 }
 
-// processNext starts to process the next queued call, unless a call is already being processed. It fails
-// calls that have waited for longer than QueueTimeout.
+// processNext starts to process the next queued call, unless a call is already being processed. It skips
+// calls that have ended, and fails calls that have waited for longer than QueueTimeout.
 func (d *simDiscovery) processNext() {
 	for !d.processing && len(d.queue) > 0 {
 		call := d.queue[0]
--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -73,7 +73,7 @@
 	c.send(query, c.round)
 }
 
-// nextPoll returns the next call to make: a poll for the complete list, a poll for the changes since the
+// nextQuery returns the next call to make: a poll for the complete list, a poll for the changes since the
 // Balancer's version, or a watch for changes after that version.
 func (c *endpointClient) nextQuery() listQuery {
 	switch {
@@ -160,8 +160,8 @@
 	c.openCalls = nil
 }
 
-// update passes a list to the Balancer and calls discovery again. A list that is invalid or older than the
-// Balancer's counts as a failed call, after which the client requests the complete list.
+// update passes a list to the Balancer and calls discovery again. An invalid list, or a delta whose version
+// is older than the Balancer's, counts as a failed call, and the next call requests the complete list.
 func (c *endpointClient) update(sinceVersion int64, response listResponse) {
 	s, sim := c.sidecar, c.sidecar.sim
 	started := s.startCPUTimer()
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -26,8 +26,8 @@
 	sim.discoveryBecameReachable(func(zone int) bool { return sim.network.region(zone) != sim.network.region(0) })
 }
 
-// FailZone makes all hosts of a zone fail at once, with their servers and sidecars. The zone must not be zone
-// 0, where discovery is. The servers do not report their failure: discovery detects it.
+// FailZone makes all hosts of a zone fail at once, with their servers and sidecars. Zone 0 must not fail,
+// because discovery is there. The servers do not report their failure: discovery detects it.
 func (sim *Simulation) FailZone(zone int) {
 	for i, server := range sim.servers {
 		if server.zone == zone {
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -40,7 +40,7 @@
 	drainStopDelay = 1 * time.Second
 
 	// maxNoticeDelay is the time after which a sidecar counts as notified of a state that discovery has
-	// recorded, if the sidecar could reach discovery.
+	// recorded, if the sidecar could reach discovery throughout this time.
 	maxNoticeDelay = 6 * time.Second
 
 	// responseSlack is the time from the timeout of a client to the check that its request has a response.
