--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,7 +1,7 @@
-// Package endpointlist parses the endpoint lists that service discovery answers with.
+// Package endpointlist parses the endpoint lists in the responses of service discovery.
 //
-// An answer is a JSON object with names of its own (generation, reset, instances, lifecycle, ...). This
-// package maps them to the terms of package policy, here and nowhere else. Unknown names are ignored.
+// A response is a JSON object with the field names of discovery (generation, reset, instances, lifecycle, ...). This
+// package maps them to the terms of package policy; no other package uses them. Unknown fields are ignored.
 package endpointlist
 
 import (
@@ -15,53 +15,56 @@
 	"cranehatch/policy"
 )
 
-// maxStartedAtMS bounds the start time of an endpoint, in milliseconds, far from the overflow of a duration.
+// maxStartedAtMS is the maximum start time of an endpoint, in milliseconds: half of what a duration can hold, far
+// from overflow. The text of ErrOutOfRange names it.
 const maxStartedAtMS = math.MaxInt64 / float64(time.Millisecond) / 2
 
-// List is one answer of discovery. The zero value holds no endpoint.
+// List is an endpoint list or a set of changes to it, from one response of discovery. The zero value has no
+// endpoints.
 type List struct {
-	Version   int64 // version of the endpoint set after this list is applied
-	Complete  bool  // all endpoints, and not only those that changed
+	Version   int64 // version of the endpoint list after this one is applied
+	Complete  bool  // the list has all endpoints; false: only those that changed
 	Endpoints []policy.Endpoint
-	Addresses map[policy.EndpointID]string // host and port; a removed endpoint may have none
+	Addresses map[policy.EndpointID]string // host:port by endpoint; a removed endpoint may have none
 }
 
-// answer is the JSON form of a List. All of its fields are mandatory: an answer without one may be cut off, or no
-// list at all, and whatever stood in for the field could take all endpoints away, or keep those that are gone.
+// answer is the JSON form of a List. All fields are required, because a response without one may be truncated or not
+// an endpoint list at all. A default value for a missing field could remove all endpoints or keep removed ones.
+// ParseComplete does not require Reset.
 type answer struct {
 	Generation *int64  `json:"generation"` // nil: absent
 	Reset      *bool   `json:"reset"`      // nil: absent
-	Instances  []entry `json:"instances"`  // nil: absent; an empty list is a list
+	Instances  []entry `json:"instances"`  // nil: absent; an empty list is valid
 }
 
 // entry is the JSON form of an endpoint.
 type entry struct {
-	InstanceID  string  `json:"instanceId"`  // mandatory
-	HostPort    string  `json:"hostPort"`    // mandatory unless the endpoint is gone
-	Zone        string  `json:"zone"`        // absent: policy.UnknownZone; not configured: see unconfiguredZone
-	Cell        *int    `json:"cell"`        // nil, that is absent: policy.UnknownCell
-	Lifecycle   string  `json:"lifecycle"`   // mandatory
-	Weight      float64 `json:"weight"`      // absent: no weight is known, package policy gives it an even part
-	StartedAtMS float64 `json:"startedAtMs"` // absent: long ago
+	InstanceID  string  `json:"instanceId"`  // required
+	HostPort    string  `json:"hostPort"`    // required, unless Lifecycle is "gone"
+	Zone        string  `json:"zone"`        // absent: policy.UnknownZone; not in the settings: see unconfiguredZone
+	Cell        *int    `json:"cell"`        // nil: absent, policy.UnknownCell
+	Lifecycle   string  `json:"lifecycle"`   // required
+	Weight      float64 `json:"weight"`      // absent: 0, for which package policy uses a weight of 1
+	StartedAtMS float64 `json:"startedAtMs"` // absent: 0, started long ago
 }
 
-// EndpointID returns the ID of an endpoint: a hash of its instance ID. It is the same in every sidecar and
-// after a restart, because package policy derives each sidecar's subset from the order of the IDs.
+// EndpointID returns the ID of an endpoint, a hash of its instance ID. The ID must be the same in every sidecar and
+// after every restart, because package policy derives each sidecar's subset from the order of the IDs.
 func EndpointID(instanceID string) policy.EndpointID {
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, instanceID) // a hash never returns an error
 	return policy.EndpointID(hash.Sum64())
 }
 
-// ParseComplete parses an answer that has all endpoints, whatever it says of that: one to a call for all of them.
-// Otherwise it is like Parse.
+// ParseComplete parses the response to a call that requested all endpoints. The list is complete whether or not the
+// response has "reset" set. In all other respects ParseComplete behaves like Parse.
 func ParseComplete(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, true)
 }
 
-// Parse parses an answer, which says itself whether it has all endpoints; zones maps the names of the configured
-// zones to their numbers. One malformed entry makes the answer unusable, since a list without it could seem complete.
-// The error is an *Error.
+// Parse parses a response, whose field "reset" states whether it has all endpoints. zones maps the names of the
+// configured zones to their numbers. Parse returns an *Error if any entry is malformed: a list without that entry
+// could be taken for complete.
 func Parse(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, false)
 }
@@ -94,12 +97,12 @@
 	return list, nil
 }
 
-// missing says that a mandatory field of the answer is absent.
+// missing returns the error for a required field that is absent from the response.
 func missing(field string) *Error {
 	return &Error{Entry: NoEntry, Field: field, Err: ErrMissing}
 }
 
-// add appends an endpoint.
+// add converts an entry and appends the endpoint.
 func (l *List) add(e entry, zones map[string]int) *Error {
 	if e.InstanceID == "" {
 		return &Error{Field: "instanceId", Err: ErrMissing}
@@ -126,7 +129,8 @@
 	return nil
 }
 
-// addAddress stores the address of an endpoint. Only a removed endpoint may have none that is valid.
+// addAddress stores the address of an endpoint. It returns an error for an invalid or absent address, unless the
+// endpoint is removed.
 func (l *List) addAddress(endpoint policy.Endpoint, hostPort string) *Error {
 	_, _, err := net.SplitHostPort(hostPort)
 	if err == nil {
@@ -149,8 +153,8 @@
 	return unconfiguredZone(e.Zone)
 }
 
-// unconfiguredZone returns the number of a zone that the settings do not name: below UnknownZone, the same for each
-// endpoint of that zone and another one for every other.
+// unconfiguredZone returns the number of a zone that is not in the settings. The number is a hash of the name, below
+// UnknownZone, so that endpoints of the same zone share it and, hash collisions aside, different zones differ.
 func unconfiguredZone(name string) int {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, name) // a hash never returns an error
@@ -164,7 +168,7 @@
 	return *e.Cell
 }
 
-// startedAt returns the time of the last start; a negative time is 0, which means long ago.
+// startedAt returns the time of the last start. A negative time is replaced by 0, which means long ago.
 func (e entry) startedAt() (time.Duration, *Error) {
 	if e.StartedAtMS > maxStartedAtMS {
 		return 0, &Error{Field: "startedAtMs", Err: ErrOutOfRange}
@@ -172,7 +176,7 @@
 	return time.Duration(max(0, e.StartedAtMS) * float64(time.Millisecond)), nil
 }
 
-// state maps the lifecycle. An unknown one is mapped to Draining, which takes no new requests.
+// state maps the lifecycle. An unknown one is mapped to Draining: the endpoint gets no new requests.
 func (e entry) state() policy.EndpointState {
 	switch e.Lifecycle {
 	case "ready":
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -27,10 +27,10 @@
 		{ID: EndpointID("s-4"), Zone: -1, Cell: -1, State: policy.Removed},
 	}
 	if !slices.Equal(list.Endpoints, want) {
-		t.Errorf("endpoints %+v, want %+v", list.Endpoints, want)
+		t.Errorf("Parse() endpoints = %+v, want %+v", list.Endpoints, want)
 	}
 	if list.Version != 41 || list.Complete || len(list.Addresses) != 3 || list.Addresses[want[1].ID] != "127.0.0.1:81" {
-		t.Errorf("list %+v", list)
+		t.Errorf("Parse() = %+v, want changes of version 41 with 3 addresses", list)
 	}
 }
 
@@ -39,21 +39,22 @@
 		name, text string
 		parse      func([]byte, map[string]int) (List, error)
 	}{
-		{"of none", `{"generation":0,"reset":true,"instances":[]}`, Parse},
-		{"asked for", `{"generation":0,"reset":false,"instances":[]}`, ParseComplete},
-		{"asked for, does not say so", `{"generation":0,"instances":[]}`, ParseComplete},
+		{"no endpoints", `{"generation":0,"reset":true,"instances":[]}`, Parse},
+		{"requested, reset is false", `{"generation":0,"reset":false,"instances":[]}`, ParseComplete},
+		{"requested, no reset", `{"generation":0,"instances":[]}`, ParseComplete},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list, err := test.parse([]byte(test.text), nil)
 			if err != nil || !list.Complete || list.Version != 0 || len(list.Endpoints) != 0 {
-				t.Errorf("list %+v, error %v", list, err)
+				t.Errorf("%+v, error %v, want a complete list of version 0 without endpoints", list, err)
 			}
 		})
 	}
 }
 
-// An answer without a list counted as a complete one of none, and every request got 503. Without a lifecycle every
-// endpoint counted as draining, and without reset a complete list as changes. All of them are unusable.
+// Guards against default values for missing fields. A response without instances was taken for a complete list of no
+// endpoints, and every request got a 503. Without lifecycle every endpoint was taken for draining, and without reset
+// a complete list was taken for changes. Each such response must be an error.
 func TestParseMissingField(t *testing.T) {
 	const usable = `{"instanceId":"s","hostPort":"127.0.0.1:80","lifecycle":"ready"}`
 	for _, test := range []struct {
@@ -63,8 +64,8 @@
 	}{
 		{"no instances", `{"generation":42,"reset":true}`, NoEntry, "instances"},
 		{"instances are null", `{"generation":42,"reset":true,"instances":null}`, NoEntry, "instances"},
-		{"no instances among changes", `{"generation":42,"reset":false}`, NoEntry, "instances"},
-		{"instances spelled otherwise", `{"generation":42,"reset":true,"hosts":[` + usable + `]}`, NoEntry, "instances"},
+		{"no instances in changes", `{"generation":42,"reset":false}`, NoEntry, "instances"},
+		{"instances under another name", `{"generation":42,"reset":true,"hosts":[` + usable + `]}`, NoEntry, "instances"},
 		{"no reset", `{"generation":42,"instances":[` + usable + `]}`, NoEntry, "reset"},
 		{"reset is null", `{"generation":42,"reset":null,"instances":[]}`, NoEntry, "reset"},
 		{"no lifecycle", `{"generation":42,"reset":true,"instances":[` + usable + `,{"instanceId":"r","hostPort":"127.0.0.1:81"}]}`, 1, "lifecycle"},
@@ -74,24 +75,24 @@
 			list, err := Parse([]byte(test.text), nil)
 			var parseError *Error
 			if !errors.As(err, &parseError) || parseError.Entry != test.entry || parseError.Field != test.field || !errors.Is(err, ErrMissing) {
-				t.Errorf("list %+v, error %v, want that %q of entry %d is missing", list, err, test.field, test.entry)
+				t.Errorf("Parse() = %+v, error %v, want a missing %q in entry %d", list, err, test.field, test.entry)
 			}
 		})
 	}
 }
 
-// Zones that the settings do not name are told apart, from each other and from an unknown one.
+// Verifies that zones that are not in the settings have distinct numbers, none of which is UnknownZone.
 func TestUnconfiguredZones(t *testing.T) {
 	north, south := unconfiguredZone("north"), unconfiguredZone("south")
 	if north == south || north >= policy.UnknownZone || south >= policy.UnknownZone || north != unconfiguredZone("north") {
-		t.Errorf("zones %d and %d, want two different ones below %d", north, south, policy.UnknownZone)
+		t.Errorf("unconfiguredZone() = %d and %d, want two different numbers below %d", north, south, policy.UnknownZone)
 	}
 }
 
-// The ID of an endpoint must not change, as it decides which sidecars send to it.
+// Guards against a change of the hash: the ID of an endpoint determines which sidecars send to it.
 func TestEndpointID(t *testing.T) {
 	if got, want := EndpointID("s-1"), policy.EndpointID(0x817cda195c3fbf24); got != want {
-		t.Errorf("ID %#x, want %#x", uint64(got), uint64(want))
+		t.Errorf("EndpointID() = %#x, want %#x", uint64(got), uint64(want))
 	}
 }
 
@@ -100,11 +101,11 @@
 		name, text string
 		entry      int
 		field      string
-		err        error // nil: any
+		err        error // nil: any error
 	}{
 		{"empty", "", NoEntry, "", nil},
 		{"truncated", "{", NoEntry, "", nil},
-		{"no object", "[]", NoEntry, "", nil},
+		{"not an object", "[]", NoEntry, "", nil},
 		{"no generation", `{"instances":[]}`, NoEntry, "generation", ErrMissing},
 		{"generation is text", `{"generation":"x"}`, NoEntry, "", nil},
 		{"no instance ID", `{"generation":1,"instances":[{"hostPort":"127.0.0.1:80","lifecycle":"ready"}]}`, 0, "instanceId", ErrMissing},
@@ -116,10 +117,10 @@
 			list, err := Parse([]byte(test.text), nil)
 			var parseError *Error
 			if !errors.As(err, &parseError) || parseError.Entry != test.entry || parseError.Field != test.field {
-				t.Fatalf("list %+v, error %#v, want an Error of entry %d, field %q", list, err, test.entry, test.field)
+				t.Fatalf("Parse() = %+v, error %#v, want an Error for entry %d, field %q", list, err, test.entry, test.field)
 			}
 			if test.err != nil && !errors.Is(err, test.err) {
-				t.Errorf("error %v, want %v", err, test.err)
+				t.Errorf("Parse() error = %v, want %v", err, test.err)
 			}
 		})
 	}
@@ -129,20 +130,20 @@
 	_, syntaxError := Parse([]byte("{x"), nil)
 	var syntax *json.SyntaxError
 	if !errors.As(syntaxError, &syntax) {
-		t.Errorf("error %v does not wrap a json.SyntaxError", syntaxError)
+		t.Errorf("Parse() error = %v, want one that wraps a json.SyntaxError", syntaxError)
 	}
 	_, addressError := Parse([]byte(`{"generation":1,"instances":[{"instanceId":"s","hostPort":"nowhere"}]}`), nil)
 	var address *net.AddrError
 	if !errors.As(addressError, &address) || addressError.Error() != "instance s: hostPort: "+address.Error() {
-		t.Errorf("error %v, want the instance, the field and a net.AddrError", addressError)
+		t.Errorf("Parse() error = %v, want the instance, the field and a net.AddrError", addressError)
 	}
 	for want, err := range map[string]error{
-		"generation: missing":             &Error{Entry: NoEntry, Field: "generation", Err: ErrMissing},
-		"instance 2: instanceId: missing": &Error{Entry: 2, Field: "instanceId", Err: ErrMissing},
+		"generation: required field is missing":             &Error{Entry: NoEntry, Field: "generation", Err: ErrMissing},
+		"instance 2: instanceId: required field is missing": &Error{Entry: 2, Field: "instanceId", Err: ErrMissing},
 	} {
 		t.Run(want, func(t *testing.T) {
 			if err.Error() != want {
-				t.Errorf("message %q", err)
+				t.Errorf("Error() = %q", err)
 			}
 		})
 	}
--- a/internal/endpointlist/errors.go
+++ b/internal/endpointlist/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// The causes that an Error wraps, besides those of packages encoding/json and net.
+// Errors that an Error may wrap, in addition to those of packages encoding/json and net.
 var (
-	// ErrMissing says that a mandatory field is absent.
-	ErrMissing = errors.New("missing")
-	// ErrOutOfRange says that a time is later than a duration can hold.
-	ErrOutOfRange = errors.New("out of range")
+	// ErrMissing reports that a required field is absent.
+	ErrMissing = errors.New("required field is missing")
+	// ErrOutOfRange reports a start time above maxStartedAtMS.
+	ErrOutOfRange = errors.New("out of range: must be at most 4611686018427 ms")
 )
 
-// NoEntry is the Entry of an Error about the answer itself.
+// NoEntry is the Entry of an Error that concerns the response as a whole.
 const NoEntry = -1
 
-// Error says where an answer of discovery is malformed.
+// Error reports a malformed response of discovery and the place of the error.
 type Error struct {
-	Entry      int    // index of the endpoint in the answer, or NoEntry
-	InstanceID string // of the endpoint; "" where it is missing
-	Field      string // JSON name; "" where the answer is no JSON of this form
+	Entry      int    // index of the endpoint in the response, or NoEntry
+	InstanceID string // instance ID of the endpoint; "" if it is missing
+	Field      string // JSON name of the field; "" if the response could not be decoded as JSON
 	Err        error
 }
 
@@ -38,5 +38,5 @@
 	return fmt.Sprintf("instance %s: %s", e.InstanceID, message)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,5 @@
-// Package gossip is the codec of the messages that sidecars send each other: one datagram of fixed size each.
+// Package gossip encodes and decodes the messages that sidecars send to each other. Each message is one datagram of
+// fixed size.
 package gossip
 
 import (
@@ -10,11 +11,11 @@
 	"cranehatch/policy"
 )
 
-// MaxDatagram is the maximum size of a datagram between sidecars, in bytes.
+// MaxDatagram is the maximum size of a datagram between sidecars, in bytes. Datagrams of this version are smaller.
 const MaxDatagram = 256
 
-// Layout of a datagram: the magic number, then, little-endian, the time in microseconds as an int64, and
-// request rate, responses and congestion as a float32 each. Offsets and sizes are in bytes.
+// Layout of a datagram: the magic number, the time in microseconds (int64), the request rate, the number of responses
+// and the congestion (float32 each). All numbers are little-endian. Offsets and sizes are in bytes.
 const (
 	magic        = "chn1" // identifies the format and its version
 	sentAtOffset = len(magic)
@@ -24,15 +25,15 @@
 	datagramSize = valuesOffset + valueCount*valueSize
 )
 
-// maxSentAt is the maximum time of a message, in microseconds, far from the overflow of a duration.
+// maxSentAt is the maximum time of a message, in microseconds: half of what a duration can hold, far from overflow.
 const maxSentAt = math.MaxInt64 / int64(time.Microsecond) / 2
 
-// ErrMalformed is the error of Decode for a datagram of another size, format or version, or with a time that
-// is out of range.
+// ErrMalformed is returned by Decode for a datagram of another size, format or version, and for a time that is
+// negative or above maxSentAt.
 var ErrMalformed = errors.New("malformed gossip message")
 
-// Encode returns a message as a datagram. The time is truncated to microseconds, the values are rounded to
-// float32.
+// Encode returns the datagram of a message. The time is truncated to microseconds and the other values are rounded
+// to float32.
 func Encode(message policy.GossipMessage) []byte {
 	datagram := append(make([]byte, 0, datagramSize), magic...)
 	datagram = binary.LittleEndian.AppendUint64(datagram, uint64(message.SentAt.Microseconds()))
@@ -42,8 +43,8 @@
 	return datagram
 }
 
-// Decode decodes a datagram, or returns ErrMalformed. The values may be negative or NaN: package policy
-// checks whether they are plausible.
+// Decode decodes a datagram, or returns ErrMalformed. The float32 values may be negative, infinite or NaN; package
+// policy validates them.
 func Decode(datagram []byte) (policy.GossipMessage, error) {
 	if len(datagram) != datagramSize || string(datagram[:len(magic)]) != magic {
 		return policy.GossipMessage{}, ErrMalformed
@@ -60,7 +61,7 @@
 	}, nil
 }
 
-// valueAt returns the value at an index from 0.
+// valueAt returns the float32 value at index, counted from 0.
 func valueAt(datagram []byte, index int) float64 {
 	bits := binary.LittleEndian.Uint32(datagram[valuesOffset+valueSize*index:])
 	return float64(math.Float32frombits(bits))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -14,20 +14,21 @@
 	message := policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125}
 	datagram := Encode(message)
 	if len(datagram) > MaxDatagram {
-		t.Fatalf("%d bytes, at most %d", len(datagram), MaxDatagram)
+		t.Fatalf("datagram has %d bytes, want at most %d", len(datagram), MaxDatagram)
 	}
 	got, err := Decode(datagram)
 	if err != nil || got != message {
-		t.Fatalf("%+v, %v; want %+v", got, err, message)
+		t.Fatalf("Decode(Encode()) = %+v, error %v, want %+v", got, err, message)
 	}
 }
 
-// Sidecars of different builds run side by side, so the bytes of a version must not change.
+// Guards against a change of the format under the same magic number: sidecars of different builds run at the same
+// time and decode each other's datagrams.
 func TestWireFormat(t *testing.T) {
 	datagram := Encode(policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125})
 	const want = "63686e31" + "15cd5b0700000000" + "00009441" + "00002042" + "0000003e"
 	if got := hex.EncodeToString(datagram); got != want {
-		t.Errorf("datagram %s, want %s", got, want)
+		t.Errorf("Encode() = %s, want %s", got, want)
 	}
 }
 
@@ -46,13 +47,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := Decode(test.datagram); !errors.Is(err, ErrMalformed) {
-				t.Errorf("error %v, want %v", err, ErrMalformed)
+				t.Errorf("Decode() error = %v, want %v", err, ErrMalformed)
 			}
 		})
 	}
 }
 
-// Decode returns an error for any datagram, or a message that Encode and Decode reproduce.
+// Verifies that for any datagram Decode returns either an error or a message that survives Encode and Decode.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(policy.GossipMessage{SentAt: time.Hour, RequestRate: 1, Responses: 2, Congestion: 3}))
 	f.Add([]byte("chn1"))
@@ -63,10 +64,10 @@
 			return
 		}
 		reproduced, err := Decode(Encode(message))
-		same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
-		if err != nil || reproduced.SentAt != message.SentAt || !same(reproduced.RequestRate, message.RequestRate) ||
-			!same(reproduced.Responses, message.Responses) || !same(reproduced.Congestion, message.Congestion) {
-			t.Errorf("%+v became %+v, %v", message, reproduced, err)
+		equal := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
+		if err != nil || reproduced.SentAt != message.SentAt || !equal(reproduced.RequestRate, message.RequestRate) ||
+			!equal(reproduced.Responses, message.Responses) || !equal(reproduced.Congestion, message.Congestion) {
+			t.Errorf("Decode(Encode(%+v)) = %+v, error %v, want the same message", message, reproduced, err)
 		}
 	})
 }
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,8 +1,8 @@
-// Package loadreport decodes the load reports of servers to policy.LoadReport.
+// Package loadreport decodes load reports of servers to policy.LoadReport.
 //
-// The settings name the values that a report holds, in order; see ParseFormat. The simulator's protocol
-// sends the bare values in that order (Report), real servers send named values in the X-Server-Load header
-// (DecodeText). Both mean the same and are decoded here.
+// The settings name the values of a report in order; see ParseFormat. The simulator's protocol sends the values in
+// that order without names (Report). Servers send name=value pairs in the X-Server-Load header (DecodeText). Both
+// forms carry the same values.
 package loadreport
 
 import (
@@ -14,30 +14,31 @@
 	"cranehatch/policy"
 )
 
-// MaxValues is the maximum number of values in one report. Further columns of a format are ignored.
+// MaxValues is the maximum number of values in a report. Columns of a format beyond it are ignored.
 const MaxValues = 4
 
-// textPrefix starts the text form of a report.
+// textPrefix is the prefix of the text form of a report.
 const textPrefix = "TEXT "
 
-// Report is one undecoded report: its first Count values, in the order of the Format.
+// Report is an undecoded report. Its values are in the order of the columns of a Format.
 type Report struct {
-	Count  int
-	Values [MaxValues]float32
+	Count  int                // number of valid elements of Values, at most MaxValues
+	Values [MaxValues]float32 // each in the unit of its column; NaN: absent
 }
 
-// column is one value of a report.
+// column describes one value of a report.
 type column struct {
 	name  string
-	field policy.ReportFields // 0: a name that is not known, its values are ignored
+	field policy.ReportFields // 0: the name is unknown and the value is ignored
 }
 
-// Format is the order of the values in a load report. The zero value decodes every report as unknown.
+// Format is the order of the values in a load report. The zero value decodes every report to an empty LoadReport.
 type Format struct {
 	columns []column
 }
 
-// fieldsByName maps the column names of the settings to the fields of policy.LoadReport.
+// fieldsByName maps the column names of the settings to the fields of policy.LoadReport. The comments give the unit
+// of each column.
 var fieldsByName = map[string]policy.ReportFields{
 	"busy_reqs": policy.HasInFlight,    // requests
 	"pending":   policy.HasQueued,      // requests
@@ -47,7 +48,7 @@
 	"failed_ps": policy.HasErrorRate,   // errors per second
 }
 
-// ParseFormat reads a comma-separated list of column names.
+// ParseFormat parses a comma-separated list of column names. Unknown names keep their position.
 func ParseFormat(names string) Format {
 	var format Format
 	for name := range strings.SplitSeq(names, ",") {
@@ -56,7 +57,7 @@
 	return format
 }
 
-// Fields returns the set of all fields that reports of this format may hold.
+// Fields returns the set of fields that reports of this format may have.
 func (f Format) Fields() policy.ReportFields {
 	var all policy.ReportFields
 	for _, c := range f.columns {
@@ -65,7 +66,7 @@
 	return all
 }
 
-// Decode converts a report. A value that is negative, infinite or NaN counts as absent.
+// Decode converts a report. A value that is negative, infinite or NaN is treated as absent.
 func (f Format) Decode(report Report) policy.LoadReport {
 	var load policy.LoadReport
 	for i := range min(report.Count, len(f.columns)) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// DecodeText converts a report of the form "TEXT name=value, name=value". Text of another form is no
-// report; a value that is missing or no number counts as absent.
+// DecodeText converts a report of the form "TEXT name=value, name=value". Text of another form results in an empty
+// LoadReport. A value that is missing or not a number is treated as absent.
 func (f Format) DecodeText(text string) policy.LoadReport {
 	pairs, ok := strings.CutPrefix(strings.TrimSpace(text), textPrefix)
 	if !ok {
@@ -111,7 +112,7 @@
 	return f.Decode(report)
 }
 
-// absent returns a report of this format without any value.
+// absent returns a report of this format in which all values are absent.
 func (f Format) absent() Report {
 	report := Report{Count: min(len(f.columns), MaxValues)}
 	for i := range report.Count {
@@ -120,14 +121,14 @@
 	return report
 }
 
-// setNamed sets the columns of that name, unless the value is no number.
+// setNamed sets the value of each column called name, unless value is not a number.
 func (f Format) setNamed(report *Report, name, value string) {
 	for i := range report.Count {
 		if f.columns[i].name != name {
 			continue
 		}
-		if v, err := strconv.ParseFloat(value, 32); err == nil {
-			report.Values[i] = float32(v)
+		if number, err := strconv.ParseFloat(value, 32); err == nil {
+			report.Values[i] = float32(number)
 		}
 	}
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -8,7 +8,7 @@
 	"cranehatch/policy"
 )
 
-// example is the report of the protocol page.
+// example is the load report of the example in the protocol documentation.
 var example = Report{Count: 4, Values: [MaxValues]float32{0.5, 14.5, 140, 7}}
 
 func TestDecode(t *testing.T) {
@@ -30,7 +30,7 @@
 		want   policy.LoadReport
 	}{
 		{"all values", all, example, complete},
-		{"column that is not known", ParseFormat("later,cpu_share"), example, policy.LoadReport{Fields: policy.HasUtilization, Utilization: 14.5}},
+		{"unknown column", ParseFormat("later,cpu_share"), example, policy.LoadReport{Fields: policy.HasUtilization, Utilization: 14.5}},
 		{"value not a number", all, notANumber, withoutFirst},
 		{"negative value", all, negative, withoutFirst},
 		{"infinite value", all, infinite, withoutFirst},
@@ -39,7 +39,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.format.Decode(test.report); got != test.want {
-				t.Errorf("load %+v, want %+v", got, test.want)
+				t.Errorf("Decode() = %+v, want %+v", got, test.want)
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 func TestFields(t *testing.T) {
 	want := policy.HasUtilization | policy.HasServiceTime | policy.HasThroughput | policy.HasInFlight
 	if got := ParseFormat("cpu_share,svc_ms,served_ps,busy_reqs,later").Fields(); got != want {
-		t.Errorf("fields %b, want %b", got, want)
+		t.Errorf("Fields() = %b, want %b", got, want)
 	}
 }
 
@@ -61,14 +61,14 @@
 		{"some values", " TEXT busy_reqs=7, cpu_share=0.5 ", policy.LoadReport{Fields: policy.HasInFlight | policy.HasUtilization, InFlight: 7, Utilization: 0.5}},
 		{"no value", "TEXT ", policy.LoadReport{}},
 		{"value not a number", "TEXT busy_reqs=many,cpu_share=NaN,svc_ms=2", policy.LoadReport{Fields: policy.HasServiceTime, ServiceTime: 2 * time.Millisecond}},
-		{"name that is not known", "TEXT later=1,svc_ms=2", policy.LoadReport{Fields: policy.HasServiceTime, ServiceTime: 2 * time.Millisecond}},
+		{"unknown name", "TEXT later=1,svc_ms=2", policy.LoadReport{Fields: policy.HasServiceTime, ServiceTime: 2 * time.Millisecond}},
 		{"more columns than a report holds", "TEXT failed_ps=1,svc_ms=2", policy.LoadReport{Fields: policy.HasServiceTime, ServiceTime: 2 * time.Millisecond}},
 		{"other form", "JSON svc_ms=2", policy.LoadReport{}},
 		{"empty", "", policy.LoadReport{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := format.DecodeText(test.text); got != test.want {
-				t.Errorf("load %+v, want %+v", got, test.want)
+				t.Errorf("DecodeText() = %+v, want %+v", got, test.want)
 			}
 		})
 	}
--- a/internal/millis/millis.go
+++ b/internal/millis/millis.go
@@ -1,5 +1,5 @@
-// Package millis converts between time.Duration and the fractional milliseconds in which the settings,
-// the load reports and the simulator's protocol give times.
+// Package millis converts between time.Duration and fractional milliseconds, the unit of time in the settings, the
+// load reports and the simulator's protocol.
 package millis
 
 import (
@@ -9,11 +9,12 @@
 
 const (
 	nanosecondsPerMillisecond = 1e6
-	maxNanoseconds            = 1 << 62 // far from overflow, so that sums of two durations stay valid
+	// maxNanoseconds is half the range of a duration, so that adding a time to a clamped value does not overflow.
+	maxNanoseconds = 1 << 62
 )
 
-// ToDuration converts milliseconds to a duration, rounded to nanoseconds. Values beyond the range of a
-// duration are clamped; NaN becomes 0.
+// ToDuration converts milliseconds to a duration, rounded to nanoseconds. Values beyond ±maxNanoseconds are clamped.
+// NaN is converted to 0.
 func ToDuration(ms float64) time.Duration {
 	ns := math.Round(ms * nanosecondsPerMillisecond)
 	switch {
@@ -27,5 +28,5 @@
 	return time.Duration(ns)
 }
 
-// FromDuration is the inverse of ToDuration.
+// FromDuration converts a duration to milliseconds. It is the inverse of ToDuration.
 func FromDuration(d time.Duration) float64 { return float64(d) / nanosecondsPerMillisecond }
--- a/internal/millis/millis_test.go
+++ b/internal/millis/millis_test.go
@@ -10,7 +10,7 @@
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
 		t.Run(d.String(), func(t *testing.T) {
 			if got := ToDuration(FromDuration(d)); got != d {
-				t.Errorf("%v comes back as %v", d, got)
+				t.Errorf("ToDuration(FromDuration(%v)) = %v, want the same", d, got)
 			}
 		})
 	}
@@ -28,7 +28,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := ToDuration(test.ms); got != test.want {
-				t.Errorf("%v ms is %d ns, want %d", test.ms, got, test.want)
+				t.Errorf("ToDuration(%v) = %d ns, want %d ns", test.ms, got, test.want)
 			}
 		})
 	}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,37 +5,37 @@
 	"fmt"
 )
 
-// ErrNotCount is wrapped by the ValueError of a number that is no count: negative, fractional or too large.
-var ErrNotCount = errors.New("is not a count")
+// ErrNotCount is wrapped by the ValueError for a count that is negative, fractional or above maxCount.
+var ErrNotCount = errors.New("must be a whole number from 0 to 65536")
 
-// ValueError says which value could not be converted.
+// ValueError reports a setting whose value cannot be converted or used.
 type ValueError struct {
 	Key   string // path of the setting
-	Value string // as it was set
+	Value string // the text as configured; "" for an absent setting
 	Err   error
 }
 
 func (e *ValueError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Key, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ValueError) Unwrap() error { return e.Err }
 
-// LineError says which line of the path=value form has no "=".
+// LineError reports a line of the path=value form that has no "=".
 type LineError struct {
-	Line int // from 1
-	Text string
+	Line int    // line number, from 1
+	Text string // the line without surrounding white space
 }
 
 func (e *LineError) Error() string {
-	return fmt.Sprintf("settings line %d: no '=' in %.60q", e.Line, e.Text)
+	return fmt.Sprintf("settings: line %d: want path=value, got %.60q", e.Line, e.Text)
 }
 
-// JSONError says that the nested form is no JSON object.
+// JSONError reports that the text of the nested form is not a JSON object.
 type JSONError struct {
-	Err error // of package encoding/json; a *json.SyntaxError holds the offset
+	Err error // from package encoding/json; a *json.SyntaxError holds the offset
 }
 
-func (e *JSONError) Error() string { return fmt.Sprintf("settings: %v", e.Err) }
+func (e *JSONError) Error() string { return fmt.Sprintf("settings: parse JSON object: %v", e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *JSONError) Unwrap() error { return e.Err }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Parse reads path=value lines. Keys are not checked, so that settings of later versions are accepted.
-// It returns a *LineError for a line without "=".
+// Parse parses path=value lines; empty lines are skipped. Keys are not checked, so that settings of later versions
+// are accepted. Parse returns a *LineError for a line without "=".
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{values: make(map[string]string, expectedKeys)}
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
@@ -26,12 +26,13 @@
 	return s, nil
 }
 
-// ParseJSON reads nested JSON. Lists of plain values are joined by commas; lists of objects put their
-// length under PATH.count and their items under PATH.0, PATH.1 and so on. A null counts as absent.
-// It returns a *JSONError where the text is no JSON object.
+// ParseJSON parses nested JSON. The length of a list is stored as PATH.count. Items that are objects are stored
+// under PATH.0, PATH.1 and so on. Other items are joined by commas and stored as PATH; a comma within an item becomes
+// "_". A null is treated as absent.
+// ParseJSON returns a *JSONError if the text does not start with a JSON object.
 func ParseJSON(text []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // so that numbers are the same text as in the path=value form
+	decoder.UseNumber() // keeps the text of numbers, as in the path=value form
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
 		return nil, &JSONError{Err: err}
@@ -41,7 +42,7 @@
 	return s, nil
 }
 
-// flatten stores a JSON value, and those nested in it, by path.
+// flatten stores a JSON value and all values nested in it by their paths.
 func (s *Settings) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -64,14 +65,14 @@
 }
 
 func (s *Settings) flattenList(path string, list []any) {
-	var plain []string
+	var scalars []string
 	for i, item := range list {
 		if _, ok := item.(map[string]any); ok {
 			s.flatten(path+"."+strconv.Itoa(i), item)
 			continue
 		}
-		plain = append(plain, strings.ReplaceAll(fmt.Sprint(item), ",", "_"))
+		scalars = append(scalars, strings.ReplaceAll(fmt.Sprint(item), ",", "_"))
 	}
 	s.values[path+".count"] = strconv.Itoa(len(list))
-	s.values[path] = strings.Join(plain, ",")
+	s.values[path] = strings.Join(scalars, ",")
 }
--- a/internal/settings/policyconfig.go
+++ b/internal/settings/policyconfig.go
@@ -7,7 +7,7 @@
 )
 
 // PolicyConfig converts the settings to a policy.Config. It returns a *ValueError for the first value that
-// cannot be converted; whether the values are usable is checked by policy.New.
+// cannot be converted. It does not validate the configuration; policy.New does.
 func (s *Settings) PolicyConfig() (policy.Config, error) {
 	var config policy.Config
 	s.readFleet(&config)
@@ -22,14 +22,14 @@
 	return config, s.Err()
 }
 
-// readFleet reads this balancer's position among the others.
+// readFleet reads the number of balancers and the index and zone of this one.
 func (s *Settings) readFleet(config *policy.Config) {
 	config.Balancers = s.Count("balancers")
 	config.Index = s.Count("me")
 	config.Zone = s.Count("zone")
 }
 
-// readCapabilities reads what the balancer may do, and what its clients do.
+// readCapabilities reads what the balancer is allowed to do and how its clients behave.
 func (s *Settings) readCapabilities(config *policy.Config) {
 	config.MaxAttempts = s.Count("caps.most_tries")
 	config.CanCancel = s.Flag("caps.may_cancel")
@@ -39,7 +39,7 @@
 	config.ClientsMarkRetries = s.Flag("client_habits.marks_retry")
 }
 
-// readTiming reads intervals and delays.
+// readTiming reads intervals and delays, and whether the endpoint list is polled.
 func (s *Settings) readTiming(config *policy.Config) {
 	config.OrderingDelay = s.Duration("rules.order_settle_ms")
 	config.IdleCloseTimeout = s.Duration("rules.let_go_in_ms")
@@ -48,7 +48,7 @@
 	config.PollInterval = s.Duration("rules.ask_within_ms")
 }
 
-// readSlowStart reads how servers gain capacity after a start, and when they are overloaded.
+// readSlowStart reads how the capacity of a server grows after its start, and the overload factor.
 func (s *Settings) readSlowStart(config *policy.Config) {
 	config.SlowStartFraction = s.Number("rules.cold_from")
 	config.SlowStartDuration = s.Duration("rules.cold_ms")
@@ -63,7 +63,7 @@
 	}
 }
 
-// serversReportLoad reports whether servers answer health checks and responses with load reports.
+// serversReportLoad reports whether servers send load reports in responses and in answers to health checks.
 func (s *Settings) serversReportLoad() bool { return s.Text("telemetry.how") != "silent" }
 
 func (s *Settings) reportFields() policy.ReportFields {
@@ -81,7 +81,7 @@
 	return classes
 }
 
-// class reads the request class whose keys start with prefix.
+// class returns the request class whose keys start with prefix.
 func (s *Settings) class(prefix string) policy.Class {
 	return policy.Class{
 		LatencyObjective: s.Duration(prefix + "aim_ms"),
@@ -96,9 +96,9 @@
 	}
 }
 
-// idempotency maps the word of the settings. An unknown word is mapped to the strictest value.
-func idempotency(word string) policy.Idempotency {
-	switch word {
+// idempotency maps a value of the setting "semantics". An unknown value is mapped to NonIdempotent, the strictest.
+func idempotency(semantics string) policy.Idempotency {
+	switch semantics {
 	case "free":
 		return policy.Idempotent
 	case "guarded":
@@ -107,9 +107,10 @@
 	return policy.NonIdempotent
 }
 
-// dedupScope maps the word of the settings. An unknown word is mapped to the smallest group of servers.
-func dedupScope(word string) policy.DedupScope {
-	switch word {
+// dedupScope maps a value of the setting "dedup_scope". An unknown value is mapped to DedupInCell, the smallest
+// scope.
+func dedupScope(scope string) policy.DedupScope {
+	switch scope {
 	case "all":
 		return policy.DedupEverywhere
 	case "zone":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -79,7 +79,7 @@
 			},
 			{
 				LatencyObjective: 600 * time.Millisecond, Deadline: 2500 * time.Millisecond,
-				Idempotency: policy.NonIdempotent, // the strictest, for an unknown word
+				Idempotency: policy.NonIdempotent, // the strictest value, for an unknown setting
 				DedupScope:  policy.DedupInCell, OrderedByKey: true,
 			},
 		},
@@ -87,20 +87,21 @@
 		ReportFields: policy.HasErrorRate | policy.HasServiceTime | policy.HasThroughput | policy.HasInFlight,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("config %+v, want %+v", got, want)
+		t.Errorf("PolicyConfig() = %+v, want %+v", got, want)
 	}
 	format := loadreport.ParseFormat("failed_ps,svc_ms,served_ps,busy_reqs")
 	if !reflect.DeepEqual(s.ReportFormat(), format) || got.ReportFields != format.Fields() {
-		t.Errorf("report format %+v, want %+v", s.ReportFormat(), format)
+		t.Errorf("ReportFormat() = %+v, want %+v", s.ReportFormat(), format)
 	}
 }
 
-// Each key is mapped to one field: a setting alone changes just that.
+// Guards against a key that is mapped to a wrong field: adding one setting must change the listed fields of the
+// configuration and no other.
 func TestPolicyConfigKeys(t *testing.T) {
 	const ms250 = 250 * time.Millisecond
 	for _, test := range []struct {
 		setting string
-		want    func(*policy.Config)
+		want    func(*policy.Config) // changes the expected configuration
 	}{
 		{"me=2", func(c *policy.Config) { c.Index = 2 }},
 		{"caps.peers=true", func(c *policy.Config) { c.CanGossip = true }},
@@ -121,7 +122,7 @@
 			want := policyConfig(t, parse(t, exampleLines))
 			test.want(&want)
 			if got := policyConfig(t, parse(t, exampleLines+test.setting)); !reflect.DeepEqual(got, want) {
-				t.Errorf("config %+v, want %+v", got, want)
+				t.Errorf("PolicyConfig() = %+v, want %+v", got, want)
 			}
 		})
 	}
@@ -141,10 +142,10 @@
 			_, err := parse(t, test.setting).PolicyConfig()
 			var value *ValueError
 			if !errors.As(err, &value) || value.Key != test.key || !errors.Is(err, test.err) {
-				t.Fatalf("error %v, want a ValueError of %s that wraps %v", err, test.key, test.err)
+				t.Fatalf("PolicyConfig() error = %v, want a ValueError for %s that wraps %q", err, test.key, test.err)
 			}
 			if test.setting != value.Key+"="+value.Value || !strings.Contains(err.Error(), test.key) {
-				t.Errorf("error %q with value %q", err, value.Value)
+				t.Errorf("PolicyConfig() error = %q with Value %q, want the key and the value as configured", err, value.Value)
 			}
 		})
 	}
@@ -154,11 +155,11 @@
 	_, err := Parse([]byte("zone=1\n\nno equals sign"))
 	var line *LineError
 	if !errors.As(err, &line) || line.Line != 3 || line.Text != "no equals sign" {
-		t.Errorf("error %v, want a LineError of line 3", err)
+		t.Errorf("Parse() error = %v, want a LineError for line 3", err)
 	}
 }
 
-// Both forms of the settings mean the same: numbers, names and lists.
+// Verifies that the JSON form and the path=value form of the same settings result in the same configuration.
 func TestJSONEqualsLines(t *testing.T) {
 	const lines = "balancers=3\ncaps.may_cancel=true\ncaps.most_tries=3\ncaps.probes=true\ntelemetry.how=pull\n" +
 		"telemetry.columns=svc_ms,busy_reqs\nclasses.count=2\nclasses.0.aim_ms=500.0\nclasses.0.hard_limit_ms=1000.0\n" +
@@ -173,10 +174,10 @@
 	}
 	got, want := policyConfig(t, s), policyConfig(t, parse(t, lines))
 	if !reflect.DeepEqual(got, want) || len(got.Classes) != 2 || got.ReportFields != policy.HasServiceTime|policy.HasInFlight {
-		t.Errorf("config %+v, want %+v", got, want)
+		t.Errorf("PolicyConfig() = %+v, want %+v", got, want)
 	}
 	if s.Text("weights") != "" || s.Count("orgs.count") != 1 || s.Duration("classes.1.aim_ms") != 600*time.Millisecond {
-		t.Errorf("values %v", s.values)
+		t.Errorf("values = %v, want no weights, 1 tenant and a latency objective of 600 ms for class 1", s.values)
 	}
 }
 
@@ -186,14 +187,14 @@
 			_, err := ParseJSON([]byte(text))
 			var malformed *JSONError
 			if !errors.As(err, &malformed) {
-				t.Errorf("error %v, want a JSONError", err)
+				t.Errorf("ParseJSON() error = %v, want a JSONError", err)
 			}
 		})
 	}
 	_, err := ParseJSON([]byte("{x"))
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) || syntax.Offset != 2 {
-		t.Errorf("error %v, want a json.SyntaxError at offset 2", err)
+		t.Errorf("ParseJSON() error = %v, want a json.SyntaxError at offset 2", err)
 	}
 }
 
@@ -209,23 +210,23 @@
 		MaxInFlight: 100, ServerIdleTimeout: 30 * time.Second, DialTimeout: 250 * time.Millisecond, DrainGrace: time.Second,
 	}
 	if !reflect.DeepEqual(config, want) {
-		t.Errorf("config %+v, want %+v", config, want)
+		t.Errorf("SidecarConfig() = %+v, want %+v", config, want)
 	}
 	for name, test := range map[string]struct {
 		line string
 		key  string
 		err  error
 	}{
-		"idle timeout missing":  {"caps.conn_idle_ms=", "caps.conn_idle_ms", ErrNotPositive},
-		"dial timeout negative": {"caps.dial_timeout_ms=-1", "caps.dial_timeout_ms", ErrNotPositive},
-		"limit negative":        {"caps.max_open=-1", "caps.max_open", ErrNegative},
-		"count of classes":      {"classes.count=1.5", "classes.count", ErrNotCount},
+		"idle timeout missing":   {"caps.conn_idle_ms=", "caps.conn_idle_ms", ErrNotPositive},
+		"dial timeout negative":  {"caps.dial_timeout_ms=-1", "caps.dial_timeout_ms", ErrNotPositive},
+		"limit negative":         {"caps.max_open=-1", "caps.max_open", ErrNegative},
+		"class count fractional": {"classes.count=1.5", "classes.count", ErrNotCount},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parse(t, usable+test.line+"\n").SidecarConfig()
 			var value *ValueError
 			if !errors.As(err, &value) || value.Key != test.key || !errors.Is(err, test.err) {
-				t.Errorf("error %v, want one of %s: %v", err, test.key, test.err)
+				t.Errorf("SidecarConfig() error = %v, want a ValueError for %s that wraps %q", err, test.key, test.err)
 			}
 		})
 	}
--- a/internal/settings/sidecarconfig.go
+++ b/internal/settings/sidecarconfig.go
@@ -9,27 +9,28 @@
 	"cranehatch/internal/loadreport"
 )
 
-// Errors that a ValueError of SidecarConfig wraps.
+// Errors that a ValueError from SidecarConfig may wrap.
 var (
-	ErrNotPositive = errors.New("is not above 0")
-	ErrNegative    = errors.New("is negative")
+	ErrNotPositive = errors.New("must be above 0")
+	ErrNegative    = errors.New("must not be negative")
 )
 
-// SidecarConfig is what a sidecar needs of the settings beside a policy.Config. Names are listed by number.
+// SidecarConfig holds the settings that a sidecar needs in addition to its policy.Config. The index of a class,
+// tenant or zone name is the number that package policy uses for it.
 type SidecarConfig struct {
 	ClassNames  []string
 	TenantNames []string
 	ZoneNames   []string
 
 	ReportFormat      loadreport.Format // of the servers' load reports
-	MaxInFlight       int               // requests open at once; 0: no limit
-	ServerIdleTimeout time.Duration     // servers close a connection that has been idle for this long
-	DialTimeout       time.Duration     // for a connection to a server
-	DrainGrace        time.Duration     // sends to a draining server must stop within this; 0: not known
+	MaxInFlight       int               // limit on concurrent requests; 0: no limit
+	ServerIdleTimeout time.Duration     // idle time after which servers close a connection
+	DialTimeout       time.Duration     // limit on opening a connection to a server
+	DrainGrace        time.Duration     // time within which sends to a draining server must stop; 0: unknown
 }
 
-// SidecarConfig converts what a sidecar needs beside the policy's settings. It returns a *ValueError for the
-// first value that cannot be used.
+// SidecarConfig converts the settings that a sidecar needs in addition to PolicyConfig. It returns a *ValueError for
+// the first value that cannot be converted or used.
 func (s *Settings) SidecarConfig() (SidecarConfig, error) {
 	config := SidecarConfig{
 		ClassNames:        s.names("classes"),
@@ -42,12 +43,12 @@
 		DrainGrace:        s.Duration("rules.stop_sending_within_ms"),
 	}
 	if config.MaxInFlight < 0 {
-		s.fail("caps.max_open", fmt.Errorf("%d %w", config.MaxInFlight, ErrNegative))
+		s.fail("caps.max_open", fmt.Errorf("invalid limit %d: %w", config.MaxInFlight, ErrNegative))
 	}
 	return config, s.Err()
 }
 
-// names returns the names of a list of objects.
+// names returns the value of "name" of each object in a list.
 func (s *Settings) names(list string) []string {
 	names := make([]string, s.Count(list+".count"))
 	for i := range names {
@@ -56,11 +57,11 @@
 	return names
 }
 
-// positiveDuration returns a time that must be set.
+// positiveDuration returns the value of a duration that is required and must be above 0.
 func (s *Settings) positiveDuration(key string) time.Duration {
 	d := s.Duration(key)
 	if d <= 0 {
-		s.fail(key, fmt.Errorf("%v %w", d, ErrNotPositive))
+		s.fail(key, fmt.Errorf("invalid duration %v: %w", d, ErrNotPositive))
 	}
 	return d
 }
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -6,22 +6,22 @@
 	"cranehatch/policy"
 )
 
-// EventCode is the numeric code of an event record.
+// EventCode identifies the type of an event record.
 type EventCode uint16
 
-// The event codes. The comment of each is the protocol's own name of the event.
+// Event codes. Each comment starts with the protocol's own name of the event.
 const (
-	EventHealthChecked      EventCode = 1000 // CheckResult: the result of a health check
-	EventEndpointList       EventCode = 1010 // Manifest: a numbered endpoint list, for all instances
-	EventInstanceStopped    EventCode = 1020 // CrashNow: an instance is gone without further notice
-	EventStreamStarted      EventCode = 1030 // Headers: the response of a request has begun
-	EventGossipReceived     EventCode = 1040 // Heard: a message of another instance
-	EventEndpointsUpdated   EventCode = 1050 // Fleet: a numbered list applies to an instance
-	EventAttemptEnded       EventCode = 1060 // Finished: the outcome of an attempt
-	EventTimerFired         EventCode = 1070 // Wake: the end of a SetAlarm
-	EventRequestArrived     EventCode = 1080 // Ask: a client's request
-	EventClientDisconnected EventCode = 1090 // ClientLeft: the client no longer waits for a request
-	EventInstanceStarted    EventCode = 1100 // OpenInstance: an instance with its settings
+	EventHealthChecked      EventCode = 1000 // CheckResult: result of a health check
+	EventEndpointList       EventCode = 1010 // Manifest: numbered endpoint list, shared by all instances
+	EventInstanceStopped    EventCode = 1020 // CrashNow: an instance stopped without notice
+	EventStreamStarted      EventCode = 1030 // Headers: the response to a request has started
+	EventGossipReceived     EventCode = 1040 // Heard: gossip message from another instance
+	EventEndpointsUpdated   EventCode = 1050 // Fleet: endpoint update, by list number, for one instance
+	EventAttemptEnded       EventCode = 1060 // Finished: outcome of an attempt
+	EventTimerFired         EventCode = 1070 // Wake: a timer set by SetAlarm expired
+	EventRequestArrived     EventCode = 1080 // Ask: request from a client
+	EventClientDisconnected EventCode = 1090 // ClientLeft: the client of a request disconnected
+	EventInstanceStarted    EventCode = 1100 // OpenInstance: an instance started; the record has its settings
 )
 
 var eventNames = map[EventCode]string{
@@ -38,7 +38,7 @@
 	EventInstanceStarted:    "OpenInstance",
 }
 
-// String returns the number and, where it is known, the protocol's name.
+// String returns the code, followed by the protocol's name of the event in parentheses if the code is known.
 func (c EventCode) String() string {
 	if name, ok := eventNames[c]; ok {
 		return fmt.Sprintf("%d (%s)", uint16(c), name)
@@ -46,10 +46,10 @@
 	return fmt.Sprint(uint16(c))
 }
 
-// ActionCode is the numeric code of an action record.
+// ActionCode identifies the type of an action record.
 type ActionCode uint16
 
-// The action codes. The comment of each is the protocol's own name of the action.
+// Action codes. Each comment is the protocol's own name of the action.
 const (
 	ActionSend           ActionCode = 1000 // CallOut
 	ActionReject         ActionCode = 1010 // PushBack
@@ -64,7 +64,7 @@
 	ActionWatchEndpoints ActionCode = 1100 // Tail
 )
 
-// The result codes of attempts and health checks. The comment of each is the protocol's own name.
+// Result codes of attempts and health checks. Each comment is the protocol's own name of the result.
 const (
 	ResultSucceeded      = 100 // Served
 	ResultServerError    = 301 // Errored
@@ -76,7 +76,7 @@
 	ResultNotSent        = 307 // NotSent
 )
 
-// The kinds of EventEndpointsUpdated.
+// Kinds of update in an EventEndpointsUpdated.
 const (
 	UpdateFull   = 1
 	UpdateDelta  = 2
@@ -84,20 +84,21 @@
 	UpdateFailed = 4
 )
 
-// The flags of EventRequestArrived.
+// Flags of an EventRequestArrived, combined by OR.
 const (
-	FlagExpectedWork = 1 // Hint: the expected work is known
+	FlagExpectedWork = 1 // Hint: the record has the expected work
 	FlagClientRetry  = 2 // Repeat: the client marked the request as a retry
 )
 
-// The states of an endpoint in EventEndpointList.
+// States of an endpoint in an EventEndpointList.
 const (
 	StateRemoved  = 0
 	StateReady    = 1
 	StateDraining = 2
 )
 
-// resultOf maps a result code. An unknown code is mapped to ServerError, as the attempt may have run.
+// resultOf maps a result code. An unknown code is mapped to ServerError, because the server may have executed the
+// attempt.
 func resultOf(code uint16) policy.Result {
 	switch code {
 	case ResultSucceeded:
@@ -118,7 +119,8 @@
 	return policy.ServerError
 }
 
-// updateKindOf maps the kind of an endpoint update; ok is false for a kind of a later protocol version.
+// updateKindOf maps the kind of an endpoint update. ok is false for an unknown kind, which a later version of the
+// protocol may have.
 func updateKindOf(code uint8) (kind policy.UpdateKind, ok bool) {
 	switch code {
 	case UpdateFull:
@@ -133,8 +135,8 @@
 	return 0, false
 }
 
-// endpointStateOf maps the state of an endpoint. An unknown state is mapped to Draining, which takes no
-// new requests.
+// endpointStateOf maps the state of an endpoint. An unknown state is mapped to Draining: the endpoint gets no new
+// requests.
 func endpointStateOf(code uint8) policy.EndpointState {
 	switch code {
 	case StateReady:
--- a/internal/simprotocol/codes_test.go
+++ b/internal/simprotocol/codes_test.go
@@ -16,7 +16,7 @@
 	} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
 			if got := resultOf(code); got != want {
-				t.Errorf("result %v, want %v", got, want)
+				t.Errorf("resultOf() = %v, want %v", got, want)
 			}
 		})
 	}
@@ -29,13 +29,13 @@
 	} {
 		t.Run(fmt.Sprint(code), func(t *testing.T) {
 			if got := endpointStateOf(code); got != want {
-				t.Errorf("state %v, want %v", got, want)
+				t.Errorf("endpointStateOf() = %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// The codes are fixed by the protocol.
+// Guards against a change of codes that the protocol fixes.
 func TestWireCodes(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -50,7 +50,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.got != test.want {
-				t.Errorf("code %d, want %d", test.got, test.want)
+				t.Errorf("code = %d, want %d", test.got, test.want)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	for code, want := range map[EventCode]string{EventRequestArrived: "1080 (Ask)", 4711: "4711"} {
 		t.Run(want, func(t *testing.T) {
 			if got := code.String(); got != want {
-				t.Errorf("%q, want %q", got, want)
+				t.Errorf("String() = %q, want %q", got, want)
 			}
 		})
 	}
--- a/internal/simprotocol/cursor.go
+++ b/internal/simprotocol/cursor.go
@@ -12,22 +12,22 @@
 
 // Sizes of fields, in bytes.
 const (
-	addressLen     = 6 // IPv4 address and port
+	addressLen     = 6 // IPv4 address (4) and port (2)
 	reportValueLen = 4 // float32
 )
 
-// cursor reads the fields of a record in order. After the first field that is missing, truncated is set
-// and every further field is zero, so that a caller checks once, by err.
+// cursor decodes the fields of a record in order. A field that is missing sets truncated; it and all further fields
+// are decoded as zero. A caller can therefore decode all fields and call err once.
 type cursor struct {
-	code      EventCode // of the record, for errors
-	remaining []byte
-	truncated bool
+	code      EventCode // event code of the record, for error messages
+	remaining []byte    // bytes that have not been decoded
+	truncated bool      // a field was missing
 }
 
-// fields returns a cursor at the first field of a record.
+// fields returns a cursor positioned at the first field of the record.
 func (r Record) fields() cursor { return cursor{code: r.Code, remaining: r.Fields} }
 
-// instanceFields returns a cursor behind the instance number, the first field of most records.
+// instanceFields returns a cursor positioned after the instance number, the first field of most records.
 func (r Record) instanceFields() cursor {
 	c := r.fields()
 	c.uint32()
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// bytes returns the next n bytes, or nil.
+// bytes returns the next n bytes, or nil if fewer remain.
 func (c *cursor) bytes(n int) []byte {
 	if c.truncated || n < 0 || n > len(c.remaining) {
 		c.truncated = true
@@ -91,7 +91,7 @@
 
 func (c *cursor) requestID() policy.RequestID { return policy.RequestID(c.uint32()) }
 
-// endpointID reads an address and port: the six bytes of the wire, first byte lowest.
+// endpointID decodes an IPv4 address and port as one little-endian number of six bytes.
 func (c *cursor) endpointID() policy.EndpointID {
 	field := c.bytes(addressLen)
 	if field == nil {
@@ -102,7 +102,7 @@
 	return policy.EndpointID(binary.LittleEndian.Uint64(padded[:]))
 }
 
-// loadReport reads a load report. Values beyond loadreport.MaxValues are skipped.
+// loadReport decodes a load report. Values beyond loadreport.MaxValues are skipped.
 func (c *cursor) loadReport() loadreport.Report {
 	var report loadreport.Report
 	count := int(c.uint8())
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// The causes that a BatchError or a RecordError wraps, besides those of the input stream.
+// Errors that a BatchError or a RecordError may wrap, in addition to those of the input stream.
 var (
-	// ErrTruncated says that the input has fewer bytes than its lengths or fields claim.
+	// ErrTruncated reports that the input has fewer bytes than its sizes, counts or fields require.
 	ErrTruncated = errors.New("truncated")
-	// ErrTooLarge says that a batch claims more bytes than are accepted.
+	// ErrTooLarge reports a batch whose declared size is above maxBatchLen.
 	ErrTooLarge = errors.New("too large")
-	// ErrNotFinite says that a time is infinite or no number.
-	ErrNotFinite = errors.New("not a finite number")
-	// ErrTrailingBytes says that a batch has bytes after its last record.
-	ErrTrailingBytes = errors.New("bytes after the last record")
+	// ErrNotFinite reports a time that is infinite or NaN.
+	ErrNotFinite = errors.New("must be a finite number")
+	// ErrTrailingBytes reports that a batch has bytes after its last record.
+	ErrTrailingBytes = errors.New("unexpected bytes after the last record")
 )
 
-// Part is the part of a batch or a record that an error is about.
+// Part names the part of a batch or record in which an error occurred.
 type Part string
 
-// The parts of batches and records.
+// Parts of batches and records.
 const (
 	PartHeader  Part = "header"
 	PartTime    Part = "time"
@@ -30,10 +30,10 @@
 	PartList    Part = "endpoint list"
 )
 
-// BatchError says which batch could not be read or handled.
+// BatchError reports a batch that could not be read or processed.
 type BatchError struct {
-	Number uint32 // of the batch; not known where Part is PartHeader
-	Part   Part
+	Number uint32 // number of the batch; unknown (0) if Part is PartHeader
+	Part   Part   // part of the batch with the error
 	Err    error
 }
 
@@ -44,13 +44,13 @@
 	return fmt.Sprintf("batch %d: %s: %v", e.Number, e.Part, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *BatchError) Unwrap() error { return e.Err }
 
-// RecordError says which record could not be decoded.
+// RecordError reports a record that could not be decoded.
 type RecordError struct {
-	Code EventCode // not known where Part is PartHeader
-	Part Part
+	Code EventCode // code of the record; unknown (0) if Part is PartHeader
+	Part Part      // part of the record with the error
 	Err  error
 }
 
@@ -61,10 +61,10 @@
 	return fmt.Sprintf("record %v: %s: %v", e.Code, e.Part, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// truncated returns an ErrTruncated with the numbers of bytes.
-func truncated(claimed uint64, remaining int) error {
-	return fmt.Errorf("%w: %d bytes claimed, %d remain", ErrTruncated, claimed, remaining)
+// truncated returns an error that wraps ErrTruncated and gives the number of bytes required and remaining.
+func truncated(required uint64, remaining int) error {
+	return fmt.Errorf("%w: %d bytes required, %d remain", ErrTruncated, required, remaining)
 }
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,11 +1,11 @@
-// Package simprotocol is the codec of the simulator's binary protocol.
+// Package simprotocol encodes and decodes the simulator's binary protocol.
 //
-// The simulator sends batches of event records, and each batch is answered by one reply of action records.
-// All numbers are little-endian, all times are float64 milliseconds. Records may get further fields in
-// later versions: what follows the known fields of a record is ignored.
+// The simulator sends batches of event records. Each batch is answered by one reply, which consists of action
+// records. All numbers are little-endian, and all times are float64 milliseconds. A later version of the protocol may
+// append fields to a record: bytes after the known fields are ignored.
 //
-// The protocol has names of its own (Ask, CallOut, PushBack, ...). This package maps them to the terms of
-// package policy, here and nowhere else; see codes.go for the table.
+// This package maps the names of the protocol (Ask, CallOut, PushBack, ...) to the terms of package policy; no other
+// package uses them. The mapping is in codes.go.
 package simprotocol
 
 import (
@@ -24,19 +24,19 @@
 const (
 	batchHeaderLen  = 20
 	recordHeaderLen = 6
-	// maxBatchLen bounds what a batch may claim to hold. Real batches run to megabytes; a larger claim is
-	// a corrupt stream.
+	// maxBatchLen is the maximum size of a batch's body. Real batches have up to some megabytes; a larger declared
+	// size indicates a corrupt stream.
 	maxBatchLen = 1 << 28
-	// readChunkLen bounds what is allocated ahead of the bytes that really arrive.
+	// readChunkLen is the maximum that is allocated ahead of the bytes received.
 	readChunkLen = 1 << 20
 )
 
 // Batch is one frame of events.
 type Batch struct {
-	Number      uint32
-	RecordCount uint32
-	Time        time.Duration // of all its events, on the simulator's clock
-	Body        []byte        // the records; valid until the next ReadBatch
+	Number      uint32        // identifies the batch; the reply repeats it
+	RecordCount uint32        // number of records in Body
+	Time        time.Duration // time of all events in the batch, on the simulator's clock
+	Body        []byte        // encoded records; valid until the next call of ReadBatch
 }
 
 // Reader reads batches from a stream.
@@ -46,11 +46,11 @@
 	body   []byte
 }
 
-// NewReader returns a Reader of source, which should be buffered.
+// NewReader returns a Reader that reads from source, which should be buffered.
 func NewReader(source io.Reader) *Reader { return &Reader{source: source} }
 
-// ReadBatch reads the next batch. It returns io.EOF at the end of input between two batches, and a
-// *BatchError otherwise.
+// ReadBatch reads the next batch. It returns io.EOF if the input ends between two batches, and a *BatchError for any
+// other failure.
 func (r *Reader) ReadBatch() (Batch, error) {
 	_, err := io.ReadFull(r.source, r.header[:])
 	if errors.Is(err, io.EOF) {
@@ -70,7 +70,7 @@
 	return batch, nil
 }
 
-// parseHeader returns the batch without its body, and the body's size.
+// parseHeader returns the batch without its body, and the size of the body in bytes.
 func (r *Reader) parseHeader() (batch Batch, size uint32, err error) {
 	number := binary.LittleEndian.Uint32(r.header[0:])
 	records := binary.LittleEndian.Uint32(r.header[4:])
@@ -80,7 +80,7 @@
 		return Batch{}, 0, &BatchError{Number: number, Part: PartTime, Err: ErrNotFinite}
 	}
 	if size > maxBatchLen {
-		err := fmt.Errorf("%w: %d bytes claimed, at most %d are accepted", ErrTooLarge, size, maxBatchLen)
+		err := fmt.Errorf("%w: got %d bytes, want at most %d", ErrTooLarge, size, maxBatchLen)
 		return Batch{}, 0, &BatchError{Number: number, Part: PartBody, Err: err}
 	}
 	if minSize := uint64(records) * recordHeaderLen; minSize > uint64(size) {
@@ -89,8 +89,8 @@
 	return Batch{Number: number, RecordCount: records, Time: millis.ToDuration(now)}, size, nil
 }
 
-// readBody reads size bytes. The buffer grows with the bytes that arrive, so that a wrong size in a short
-// stream does not cause a large allocation.
+// readBody reads size bytes into r.body. The buffer grows as bytes arrive, so that a wrong size in a short stream does
+// not cause a large allocation.
 func (r *Reader) readBody(size int) error {
 	r.body = r.body[:0]
 	for len(r.body) < size {
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// Record is one record of a batch: its code and its fields. Its methods decode the fields; each belongs to
-// the event code of its name, and returns a *RecordError where fields are missing.
+// Record is one event record of a batch. Each of its methods decodes the fields of the event code that it documents,
+// and returns a *RecordError if fields are missing.
 type Record struct {
 	Code   EventCode
-	Fields []byte // valid as long as the batch
+	Fields []byte // encoded fields; valid as long as the body of the batch
 }
 
-// NextRecord splits the first record off body and returns the remaining bytes too.
+// NextRecord decodes the header of the first record in body. It returns the record and the bytes after it.
 func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderLen {
 		return Record{}, nil, &RecordError{Part: PartHeader, Err: truncated(recordHeaderLen, len(body))}
--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -16,20 +16,20 @@
 		4204 08000000 05000000 192b6f0e`)))
 	batch, err := reader.ReadBatch()
 	if err != nil || batch.Number != 12 || batch.RecordCount != 3 || batch.Time != 8412250*time.Microsecond {
-		t.Fatalf("batch %+v, error %v", batch, err)
+		t.Fatalf("ReadBatch() = %+v, error %v, want batch 12 with 3 records at 8412.25 ms", batch, err)
 	}
 	body := batch.Body
 	for _, want := range []EventCode{EventRequestArrived, EventTimerFired, EventClientDisconnected} {
 		var record Record
 		if record, body = nextRecord(t, body); record.Code != want {
-			t.Errorf("record %v, want %v", record.Code, want)
+			t.Errorf("record code = %v, want %v", record.Code, want)
 		}
 	}
 	if len(body) != 0 {
-		t.Errorf("%d bytes after the last record", len(body))
+		t.Errorf("%d bytes after the last record, want none", len(body))
 	}
 	if _, err := reader.ReadBatch(); !errors.Is(err, io.EOF) {
-		t.Fatalf("end of input gives %v", err)
+		t.Fatalf("ReadBatch() error at the end of input = %v, want io.EOF", err)
 	}
 }
 
@@ -37,10 +37,10 @@
 	body := bytes.Repeat([]byte("0123456789"), readChunkLen/4)
 	reader := NewReader(bytes.NewReader(append(frame(1, uint32(len(body)), 0, string(body)), frame(0, 0, 0, "")...)))
 	if batch, err := reader.ReadBatch(); err != nil || !bytes.Equal(batch.Body, body) {
-		t.Errorf("a body of %d bytes, error %v; want %d bytes", len(batch.Body), err, len(body))
+		t.Errorf("ReadBatch() body has %d bytes, error %v, want %d bytes", len(batch.Body), err, len(body))
 	}
 	if batch, err := reader.ReadBatch(); err != nil || len(batch.Body) != 0 {
-		t.Errorf("a body of %d bytes, error %v; want an empty one", len(batch.Body), err)
+		t.Errorf("ReadBatch() body has %d bytes, error %v, want an empty body", len(batch.Body), err)
 	}
 }
 
@@ -64,10 +64,10 @@
 			_, err := NewReader(bytes.NewReader(test.input)).ReadBatch()
 			var batchError *BatchError
 			if !errors.As(err, &batchError) || batchError.Part != test.part || !errors.Is(err, test.err) || errors.Is(err, io.EOF) {
-				t.Fatalf("error %v, want a BatchError of the %s that wraps %q", err, test.part, test.err)
+				t.Fatalf("ReadBatch() error = %v, want a BatchError for the %s that wraps %q", err, test.part, test.err)
 			}
 			if test.part != PartHeader && batchError.Number != 1 {
-				t.Errorf("error of batch %d, want 1", batchError.Number)
+				t.Errorf("BatchError.Number = %d, want 1", batchError.Number)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 		part        Part
 	}{
 		{"truncated header", "e803", 0, PartHeader},
-		{"longer than the batch", "e803 ff000000 03000000", EventHealthChecked, PartFields},
+		{"record longer than the batch", "e803 ff000000 03000000", EventHealthChecked, PartFields},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, _, err := NextRecord(unhex(t, test.input))
@@ -89,7 +89,7 @@
 	}
 }
 
-// No input makes the decoders panic.
+// Verifies that no input makes a decoder panic.
 func FuzzReader(f *testing.F) {
 	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
 	f.Add(frame(0, 0, 0, ""))
--- a/internal/simprotocol/helpers_test.go
+++ b/internal/simprotocol/helpers_test.go
@@ -11,7 +11,8 @@
 	"cranehatch/policy"
 )
 
-// unhex decodes hexadecimal text with white space. The records of the tests are examples of the protocol page.
+// unhex decodes hexadecimal text with white space. Most records in the tests are the examples of the protocol
+// documentation.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(text))
@@ -21,7 +22,7 @@
 	return b
 }
 
-// nextRecord decodes the first record of a body.
+// nextRecord calls NextRecord and fails the test on an error.
 func nextRecord(t testing.TB, body []byte) (Record, []byte) {
 	t.Helper()
 	record, remaining, err := NextRecord(body)
@@ -31,14 +32,14 @@
 	return record, remaining
 }
 
-// exampleEndpoint returns the ID of the first endpoint of the protocol page's list.
+// exampleEndpoint returns the ID of the first endpoint in the example list of the protocol documentation.
 func exampleEndpoint(t testing.TB) policy.EndpointID {
 	t.Helper()
 	c := cursor{remaining: unhex(t, "0a124a07 931f")}
 	return c.endpointID()
 }
 
-// frame builds batch 1.
+// frame encodes a batch with number 1.
 func frame(records, size uint32, now float64, body string) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, 1)
 	b = binary.LittleEndian.AppendUint32(b, records)
@@ -47,11 +48,11 @@
 	return append(b, body...)
 }
 
-// checkRecordError checks that err is a RecordError of that code and part that wraps ErrTruncated.
+// checkRecordError checks that err is a RecordError with this code and part that wraps ErrTruncated.
 func checkRecordError(t testing.TB, err error, code EventCode, part Part) {
 	t.Helper()
 	var recordError *RecordError
 	if !errors.As(err, &recordError) || recordError.Code != code || recordError.Part != part || !errors.Is(err, ErrTruncated) {
-		t.Errorf("error %v, want a truncated %s of record %v", err, part, code)
+		t.Errorf("error = %v, want a RecordError for truncated %s of record %v", err, part, code)
 	}
 }
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -8,54 +8,54 @@
 	"cranehatch/policy"
 )
 
-// endpointLen is the size of an endpoint in a list, in bytes.
+// endpointLen is the encoded size of an endpoint in an endpoint list, in bytes.
 const endpointLen = 23
 
-// InstanceStarted is the start of an instance.
+// InstanceStarted holds the fields of an EventInstanceStarted.
 type InstanceStarted struct {
-	Seed     uint64
-	Settings []byte // path=value lines; valid as long as the batch
+	Seed     uint64 // seed of the instance's random choices
+	Settings []byte // path=value lines; valid as long as the body of the batch
 }
 
-// GossipReceived is a message of another instance.
+// GossipReceived holds the fields of an EventGossipReceived.
 type GossipReceived struct {
-	From int    // index of the sender
-	Data []byte // valid as long as the batch
+	From int    // index of the sending instance
+	Data []byte // the message; valid as long as the body of the batch
 }
 
-// AttemptEnded is the outcome of an attempt.
+// AttemptEnded holds the fields of an EventAttemptEnded, the outcome of an attempt.
 type AttemptEnded struct {
 	RequestID policy.RequestID
-	Attempt   int // from 0
-	Endpoint  policy.EndpointID
+	Attempt   int               // index of the attempt, from 0
+	Endpoint  policy.EndpointID // endpoint that the attempt was sent to
 	Result    policy.Result
-	Duration  time.Duration // of the attempt
-	Answered  bool          // the client has its response, and the request is complete
+	Duration  time.Duration // duration of the attempt
+	Answered  bool          // the client has received the response; the request is complete
 }
 
-// HealthChecked is the result of a health check.
+// HealthChecked holds the fields of an EventHealthChecked, the result of a health check.
 type HealthChecked struct {
 	Endpoint policy.EndpointID
-	Healthy  bool
+	Healthy  bool // the health check succeeded
 	Report   loadreport.Report
 }
 
-// EndpointsUpdated says which endpoint list applies to an instance.
+// EndpointsUpdated holds the fields of an EventEndpointsUpdated: which endpoint list applies to an instance.
 type EndpointsUpdated struct {
-	Known   bool // false: of a later protocol version, to be ignored
+	Known   bool // Kind is valid; false: an unknown kind of a later protocol version, ignore the update
 	Kind    policy.UpdateKind
-	Version uint32
-	List    uint16 // number of the list in an earlier EventEndpointList; unused where Kind is UpdateFailed
+	Version uint32 // version of the endpoint list in discovery
+	List    uint16 // number of the list in an earlier EventEndpointList; unused if Kind is policy.UpdateFailed
 }
 
-// Instance decodes the number of the instance that a record is for. An EventEndpointList has none.
+// Instance decodes the instance number of a record. Every event but EventEndpointList has one.
 func (r Record) Instance() (uint32, error) {
 	c := r.fields()
 	instance := c.uint32()
 	return instance, c.err()
 }
 
-// EndpointList decodes an endpoint list and its number.
+// EndpointList decodes an EventEndpointList: the number of the list and its endpoints.
 func (r Record) EndpointList() (list uint16, endpoints []policy.Endpoint, err error) {
 	c := r.fields()
 	list = c.uint16()
@@ -71,12 +71,12 @@
 	return list, endpoints, c.err()
 }
 
-// endpoint reads one endpoint of a list.
+// endpoint decodes one endpoint of an endpoint list.
 func (c *cursor) endpoint() policy.Endpoint {
 	var endpoint policy.Endpoint
 	endpoint.ID = c.endpointID()
 	endpoint.Zone = int(c.uint8())
-	c.uint8() // machine type: the policy does not use it
+	c.uint8() // machine type, which package policy does not use
 	endpoint.Cell = int(c.uint16())
 	endpoint.State = endpointStateOf(c.uint8())
 	endpoint.Weight = float64(c.float32())
@@ -131,7 +131,7 @@
 	event.Result = resultOf(c.uint16())
 	event.Duration = c.duration()
 	event.Answered = c.bool()
-	c.loadReport() // the policy does not use it; read, so that a cut one is an error
+	c.loadReport() // package policy does not use it; decoded to detect a truncated report
 	return event, c.err()
 }
 
@@ -141,19 +141,19 @@
 	var event HealthChecked
 	event.Endpoint = c.endpointID()
 	event.Healthy = resultOf(c.uint16()) == policy.Succeeded
-	c.duration() // of the health check: the policy does not use it
+	c.duration() // duration of the health check, which package policy does not use
 	event.Report = c.loadReport()
 	return event, c.err()
 }
 
-// RequestID decodes the request that an EventClientDisconnected or EventStreamStarted is about.
+// RequestID decodes the request ID of an EventClientDisconnected or EventStreamStarted.
 func (r Record) RequestID() (policy.RequestID, error) {
 	c := r.instanceFields()
 	id := c.requestID()
 	return id, c.err()
 }
 
-// TimerCookie decodes the cookie of an EventTimerFired, as it was passed to Reply.SetTimer.
+// TimerCookie decodes the cookie of an EventTimerFired, which is the one passed to Reply.SetTimer.
 func (r Record) TimerCookie() (uint64, error) {
 	c := r.instanceFields()
 	cookie := c.uint64()
--- a/internal/simprotocol/record_test.go
+++ b/internal/simprotocol/record_test.go
@@ -25,12 +25,12 @@
 	}{
 		{"no flags", "0000", plain},
 		{"expected work", "0100", withWork},
-		{"retry of the client", "0200", retry},
+		{"client retry", "0200", retry},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			record, _ := nextRecord(t, unhex(t, head+test.flags+tail))
 			if got, err := record.RequestArrived(); err != nil || got != test.want {
-				t.Errorf("request %+v, error %v, want %+v", got, err, test.want)
+				t.Errorf("RequestArrived() = %+v, error %v, want %+v", got, err, test.want)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 func TestTimerCookie(t *testing.T) {
 	record, _ := nextRecord(t, unhex(t, "2e04 0c000000 03000000 4d00000000000000"))
 	if cookie, err := record.TimerCookie(); err != nil || cookie != 77 {
-		t.Errorf("cookie %d, error %v", cookie, err)
+		t.Errorf("TimerCookie() = %d, error %v, want 77", cookie, err)
 	}
 }
 
@@ -47,7 +47,7 @@
 	record, remaining := nextRecord(t, unhex(t, "4204 08000000 05000000 192b6f0e"))
 	id, err := record.RequestID()
 	if instance, _ := record.Instance(); err != nil || id != 0x0e6f2b19 || instance != 5 || len(remaining) != 0 {
-		t.Errorf("request %x of instance %d, error %v, %d bytes remain", id, instance, err, len(remaining))
+		t.Errorf("RequestID() = %x for instance %d, error %v, %d bytes remain, want e6f2b19 for instance 5, none remain", id, instance, err, len(remaining))
 	}
 }
 
@@ -61,7 +61,7 @@
 		{ID: 0x1fbcf211900a, State: policy.Ready, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
 	if err != nil || list != 0 || !slices.Equal(endpoints, want) {
-		t.Errorf("list %d: %+v, error %v; want %+v", list, endpoints, err, want)
+		t.Errorf("EndpointList() = %d, %+v, error %v, want list 0 of %+v", list, endpoints, err, want)
 	}
 }
 
@@ -71,7 +71,7 @@
 	list, endpoints, err := record.EndpointList()
 	want := []policy.Endpoint{{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, StartedAt: time.Second}}
 	if err != nil || list != 3 || !slices.Equal(endpoints, want) {
-		t.Errorf("list %d: %+v, error %v; want %+v", list, endpoints, err, want)
+		t.Errorf("EndpointList() = %d, %+v, error %v, want list 3 of %+v", list, endpoints, err, want)
 	}
 }
 
@@ -80,7 +80,7 @@
 	got, err := record.AttemptEnded()
 	want := AttemptEnded{RequestID: 0x5d3a91c4, Endpoint: exampleEndpoint(t), Result: policy.Succeeded, Duration: 18500 * time.Microsecond, Answered: true}
 	if err != nil || got != want {
-		t.Errorf("outcome %+v, error %v, want %+v", got, err, want)
+		t.Errorf("AttemptEnded() = %+v, error %v, want %+v", got, err, want)
 	}
 }
 
@@ -98,18 +98,19 @@
 			record, _ := nextRecord(t, unhex(t, "e803 25000000 03000000 0a9011f2 bc1f "+test.result+report))
 			want.Healthy = test.healthy
 			if got, err := record.HealthChecked(); err != nil || got != want {
-				t.Errorf("health check %+v, error %v, want %+v", got, err, want)
+				t.Errorf("HealthChecked() = %+v, error %v, want %+v", got, err, want)
 			}
 		})
 	}
 }
 
-// More values than a load report holds are skipped.
+// Verifies that values beyond loadreport.MaxValues are skipped: the next field must be decoded from the bytes after
+// them.
 func TestLoadReportOfManyValues(t *testing.T) {
 	values := unhex(t, "05 0000803f 0000803f 0000803f 0000803f 0000e040")
 	c := cursor{remaining: append(values, 9)}
 	if got := c.loadReport(); got.Count != loadreport.MaxValues || c.uint8() != 9 || c.err() != nil {
-		t.Errorf("report %+v, error %v", got, c.err())
+		t.Errorf("loadReport() = %+v, error %v, want MaxValues values and the next field to be 9", got, c.err())
 	}
 }
 
@@ -127,7 +128,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			record, _ := nextRecord(t, unhex(t, "1a04 0b000000 03000000 "+test.kind+" 29000000 0700"))
 			if got, err := record.EndpointsUpdated(); err != nil || got != test.want {
-				t.Errorf("update %+v, error %v, want %+v", got, err, test.want)
+				t.Errorf("EndpointsUpdated() = %+v, error %v, want %+v", got, err, test.want)
 			}
 		})
 	}
@@ -136,17 +137,17 @@
 func TestInstanceStarted(t *testing.T) {
 	record, _ := nextRecord(t, unhex(t, "4c04 16000000 03000000 0500000000000000 06000000 7a6f6e653d31"))
 	if got, err := record.InstanceStarted(); err != nil || got.Seed != 5 || string(got.Settings) != "zone=1" {
-		t.Errorf("start %+v, error %v", got, err)
+		t.Errorf("InstanceStarted() = %+v, error %v, want seed 5 and settings zone=1", got, err)
 	}
 }
 
 func TestGossipReceived(t *testing.T) {
 	record, _ := nextRecord(t, unhex(t, "1004 0e000000 03000000 02000000 0400 68692037"))
 	if record.Code != EventGossipReceived {
-		t.Fatalf("record %+v", record)
+		t.Fatalf("NextRecord() = %+v, want an EventGossipReceived", record)
 	}
 	if got, err := record.GossipReceived(); got.From != 2 || !bytes.Equal(got.Data, []byte("hi 7")) || err != nil {
-		t.Errorf("message %+v, error %v", got, err)
+		t.Errorf("GossipReceived() = %+v, error %v, want \"hi 7\" from 2", got, err)
 	}
 }
 
@@ -163,10 +164,10 @@
 		{"health check", EventHealthChecked, PartFields, "01000000 09", func(r Record) error { _, err := r.HealthChecked(); return err }},
 		{"request ID", EventClientDisconnected, PartFields, "01000000 09", func(r Record) error { _, err := r.RequestID(); return err }},
 		{"endpoint update", EventEndpointsUpdated, PartFields, "01000000 03", func(r Record) error { _, err := r.EndpointsUpdated(); return err }},
-		{"start of an instance", EventInstanceStarted, PartFields, "01000000 09", func(r Record) error { _, err := r.InstanceStarted(); return err }},
+		{"instance start", EventInstanceStarted, PartFields, "01000000 09", func(r Record) error { _, err := r.InstanceStarted(); return err }},
 		{"instance", EventTimerFired, PartFields, "0100", func(r Record) error { _, err := r.Instance(); return err }},
-		{"message", EventGossipReceived, PartFields, "03000000 02000000 0400 68", func(r Record) error { _, err := r.GossipReceived(); return err }},
-		{"list of four thousand million endpoints", EventEndpointList, PartList, "0000 ffffffff", func(r Record) error { _, _, err := r.EndpointList(); return err }},
+		{"gossip message", EventGossipReceived, PartFields, "03000000 02000000 0400 68", func(r Record) error { _, err := r.GossipReceived(); return err }},
+		{"list of 4,294,967,295 endpoints", EventEndpointList, PartList, "0000 ffffffff", func(r Record) error { _, _, err := r.EndpointList(); return err }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			checkRecordError(t, test.decode(Record{Code: test.code, Fields: unhex(t, test.fields)}), test.code, test.part)
@@ -177,6 +178,6 @@
 func TestAddedFieldsAreIgnored(t *testing.T) {
 	record := Record{Code: EventTimerFired, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := record.TimerCookie(); err != nil {
-		t.Errorf("error %v", err)
+		t.Errorf("TimerCookie() error = %v, want none", err)
 	}
 }
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -9,7 +9,7 @@
 	"cranehatch/policy"
 )
 
-// Layout of a reply's header and of an action's header: offsets and sizes in bytes.
+// Layout of the headers of a reply and of an action. Offsets and sizes are in bytes.
 const (
 	replyNumberOffset = 0
 	replySizeOffset   = 4
@@ -20,24 +20,24 @@
 )
 
 const (
-	toAllInstances = math.MaxUint16 // the address of a broadcast
-	maxTextLen     = math.MaxUint16 // bytes; longer texts are shortened
+	toAllInstances = math.MaxUint16 // instance number that addresses all other instances
+	maxTextLen     = math.MaxUint16 // bytes; longer texts are truncated
 )
 
-// Reply collects the actions that answer one batch. The zero value is ready for Begin.
+// Reply encodes the actions that answer one batch. Begin must be called first; the zero value is ready for it.
 type Reply struct {
-	buf   []byte
-	count uint32
+	buf   []byte // header and actions
+	count uint32 // number of actions
 }
 
-// Begin discards the actions so far and starts the reply to the batch of that number.
+// Begin discards all actions and starts the reply to the batch with this number.
 func (r *Reply) Begin(batch uint32) {
 	r.buf = append(r.buf[:0], make([]byte, replyHeaderLen)...)
 	binary.LittleEndian.PutUint32(r.buf[replyNumberOffset:], batch)
 	r.count = 0
 }
 
-// Bytes completes the frame. It is valid until the next Begin.
+// Bytes completes the header and returns the encoded reply, which is valid until the next call of Begin.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[replySizeOffset:], uint32(len(r.buf)-replyHeaderLen))
 	binary.LittleEndian.PutUint32(r.buf[replyCountOffset:], r.count)
@@ -53,22 +53,22 @@
 	r.endAction(start)
 }
 
-// Reject ends a request that the client may retry without harm, best after the pause.
-func (r *Reply) Reject(instance uint32, id policy.RequestID, pause time.Duration) {
+// Reject ends a request that had no effect on a server, so that the client may retry it, preferably after retryAfter.
+func (r *Reply) Reject(instance uint32, id policy.RequestID, retryAfter time.Duration) {
 	start := r.beginAction(ActionReject, instance)
 	r.requestID(id)
-	r.duration(pause)
+	r.duration(retryAfter)
 	r.endAction(start)
 }
 
-// Fail ends a request that may have run.
+// Fail ends a request that a server may have executed.
 func (r *Reply) Fail(instance uint32, id policy.RequestID) {
 	start := r.beginAction(ActionFail, instance)
 	r.requestID(id)
 	r.endAction(start)
 }
 
-// Cancel cancels an attempt, numbered from 0.
+// Cancel cancels an attempt of a request. Attempts are numbered from 0.
 func (r *Reply) Cancel(instance uint32, id policy.RequestID, attempt int) {
 	start := r.beginAction(ActionCancel, instance)
 	r.requestID(id)
@@ -76,7 +76,7 @@
 	r.endAction(start)
 }
 
-// SetTimer requests an EventTimerFired with that cookie.
+// SetTimer requests an EventTimerFired with this cookie after the given time.
 func (r *Reply) SetTimer(instance uint32, after time.Duration, cookie uint64) {
 	start := r.beginAction(ActionSetTimer, instance)
 	r.duration(after)
@@ -84,7 +84,7 @@
 	r.endAction(start)
 }
 
-// HealthCheck requests an EventHealthChecked of an endpoint.
+// HealthCheck starts a health check of an endpoint, which an EventHealthChecked reports.
 func (r *Reply) HealthCheck(instance uint32, endpoint policy.EndpointID) {
 	start := r.beginAction(ActionHealthCheck, instance)
 	r.endpointID(endpoint)
@@ -98,7 +98,7 @@
 	r.endAction(start)
 }
 
-// WatchEndpoints subscribes to the endpoint list.
+// WatchEndpoints subscribes the instance to the endpoint list.
 func (r *Reply) WatchEndpoints(instance uint32) {
 	const subscribe = 1
 	start := r.beginAction(ActionWatchEndpoints, instance)
@@ -106,7 +106,7 @@
 	r.endAction(start)
 }
 
-// Broadcast sends a message of at most 65,535 bytes to all other instances.
+// Broadcast sends a message to all other instances. data must have at most 65,535 bytes.
 func (r *Reply) Broadcast(instance uint32, data []byte) {
 	start := r.beginAction(ActionBroadcast, instance)
 	r.uint16(toAllInstances)
@@ -115,10 +115,10 @@
 	r.endAction(start)
 }
 
-// Log writes a line to the simulator's report.
+// Log writes a line to the simulator's report. A message above maxTextLen is truncated.
 func (r *Reply) Log(instance uint32, message string) { r.text(ActionLog, instance, message) }
 
-// Fault reports that the instance has failed and runs no longer.
+// Fault reports that the instance has failed and stopped. A message above maxTextLen is truncated.
 func (r *Reply) Fault(instance uint32, message string) { r.text(ActionFault, instance, message) }
 
 func (r *Reply) text(code ActionCode, instance uint32, text string) {
@@ -129,17 +129,18 @@
 	r.endAction(start)
 }
 
-// beginAction writes an action's header, without its size, and returns where it starts.
+// beginAction appends the header of an action with a size of 0, and the instance number. It returns the offset of the
+// header.
 func (r *Reply) beginAction(code ActionCode, instance uint32) (start int) {
 	start = len(r.buf)
 	r.count++
 	r.uint16(uint16(code))
-	r.uint32(0) // the size: see endAction
+	r.uint32(0) // size, set by endAction
 	r.uint32(instance)
 	return start
 }
 
-// endAction sets the size in the header of the action at start.
+// endAction sets the size in the header of the action that begins at start.
 func (r *Reply) endAction(start int) {
 	size := len(r.buf) - start - actionHeaderLen
 	binary.LittleEndian.PutUint32(r.buf[start+actionSizeOffset:], uint32(size))
@@ -153,7 +154,7 @@
 
 func (r *Reply) requestID(id policy.RequestID) { r.uint32(uint32(id)) }
 
-// endpointID writes an address and port; see cursor.endpointID.
+// endpointID appends an IPv4 address and port in the form that cursor.endpointID decodes.
 func (r *Reply) endpointID(id policy.EndpointID) {
 	for range addressLen {
 		r.buf = append(r.buf, byte(id))
--- a/internal/simprotocol/reply_test.go
+++ b/internal/simprotocol/reply_test.go
@@ -34,11 +34,11 @@
 		4204 18000000 03000000 1200 696e646578206f7574206f662072616e6765
 		2e04 0c000000 03000000 ffff 0400 68692037`)
 	if got := reply.Bytes(); !bytes.Equal(got, want) {
-		t.Fatalf("reply\n%x\nwant\n%x", got, want)
+		t.Fatalf("Bytes() =\n%x\nwant\n%x", got, want)
 	}
 	reply.Begin(1)
 	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
-		t.Fatalf("empty reply %x", got)
+		t.Fatalf("Bytes() = %x after Begin, want a header without actions", got)
 	}
 }
 
@@ -47,6 +47,6 @@
 	reply.Begin(1)
 	reply.Log(3, string(make([]byte, maxTextLen+1)))
 	if got, want := len(reply.Bytes()), replyHeaderLen+actionHeaderLen+4+2+maxTextLen; got != want {
-		t.Errorf("%d bytes, want %d", got, want)
+		t.Errorf("len(Bytes()) = %d, want %d", got, want)
 	}
 }
