--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,7 +1,8 @@
 // Package endpointlist parses the endpoint lists in the responses of service discovery.
 //
-// A response is a JSON object with the field names of discovery (generation, reset, instances, lifecycle, ...). This
-// package maps them to the terms of package policy; no other package uses them. Unknown fields are ignored.
+// A response is a JSON object with the field names of discovery (generation, reset, instances, lifecycle,
+// ...). This package maps them to the terms of package policy; no other package contains this mapping.
+// Unknown fields are ignored.
 package endpointlist
 
 import (
@@ -15,8 +16,8 @@
 	"cranehatch/policy"
 )
 
-// maxStartedAtMS is the maximum start time of an endpoint, in milliseconds: half of what a duration can hold, far
-// from overflow. The text of ErrOutOfRange names it.
+// maxStartedAtMS is the maximum start time of an endpoint, in milliseconds: half of what a duration can hold,
+// far from overflow. The text of ErrOutOfRange names it.
 const maxStartedAtMS = math.MaxInt64 / float64(time.Millisecond) / 2
 
 // List is an endpoint list or a set of changes to it, from one response of discovery. The zero value has no
@@ -28,10 +29,10 @@
 	Addresses map[policy.EndpointID]string // host:port by endpoint; a removed endpoint may have none
 }
 
-// answer is the JSON form of a List. All fields are required, because a response without one may be truncated or not
-// an endpoint list at all. A default value for a missing field could remove all endpoints or keep removed ones.
-// ParseComplete does not require Reset.
-type answer struct {
+// response is the JSON form of a List. All fields are required, because a response without one may be
+// truncated or not an endpoint list at all. A default value for a missing field could remove all endpoints or
+// keep removed ones. ParseComplete does not require Reset.
+type response struct {
 	Generation *int64  `json:"generation"` // nil: absent
 	Reset      *bool   `json:"reset"`      // nil: absent
 	Instances  []entry `json:"instances"`  // nil: absent; an empty list is valid
@@ -48,37 +49,38 @@
 	StartedAtMS float64 `json:"startedAtMs"` // absent: 0, started long ago
 }
 
-// EndpointID returns the ID of an endpoint, a hash of its instance ID. The ID must be the same in every sidecar and
-// after every restart, because package policy derives each sidecar's subset from the order of the IDs.
+// EndpointID returns the ID of an endpoint, a hash of its instance ID. The ID must be the same in every
+// sidecar and after every restart, because package policy derives each sidecar's subset from the order of the
+// IDs.
 func EndpointID(instanceID string) policy.EndpointID {
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, instanceID) // a hash never returns an error
 	return policy.EndpointID(hash.Sum64())
 }
 
-// ParseComplete parses the response to a call that requested all endpoints. The list is complete whether or not the
-// response has "reset" set. In all other respects ParseComplete behaves like Parse.
+// ParseComplete parses the response to a call that requested all endpoints. The list is complete whether or
+// not the response has "reset" set. In all other respects ParseComplete behaves like Parse.
 func ParseComplete(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, true)
 }
 
-// Parse parses a response, whose field "reset" states whether it has all endpoints. zones maps the names of the
-// configured zones to their numbers. Parse returns an *Error if any entry is malformed: a list without that entry
-// could be taken for complete.
+// Parse parses a response, whose field "reset" states whether it has all endpoints. zones maps the names of
+// the configured zones to their numbers. Parse returns an *Error if any entry is malformed: a list without
+// that entry could be taken for complete.
 func Parse(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, false)
 }
 
 func parse(text []byte, zones map[string]int, complete bool) (List, error) {
-	var parsed answer
+	var parsed response
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return List{}, &Error{Entry: NoEntry, Err: err}
 	}
 	switch {
 	case parsed.Generation == nil:
-		return List{}, missing("generation")
+		return List{}, missingField("generation")
 	case parsed.Instances == nil:
-		return List{}, missing("instances")
+		return List{}, missingField("instances")
 	}
 	list := List{
 		Version:   *parsed.Generation,
@@ -92,13 +94,13 @@
 		}
 	}
 	if parsed.Reset == nil && !complete {
-		return List{}, missing("reset")
+		return List{}, missingField("reset")
 	}
 	return list, nil
 }
 
-// missing returns the error for a required field that is absent from the response.
-func missing(field string) *Error {
+// missingField returns the error for a required field that is absent from the response.
+func missingField(field string) *Error {
 	return &Error{Entry: NoEntry, Field: field, Err: ErrMissing}
 }
 
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// addAddress stores the address of an endpoint. It returns an error for an invalid or absent address, unless the
-// endpoint is removed.
+// addAddress stores the address of an endpoint. It returns an error for an invalid or absent address, unless
+// the endpoint is removed.
 func (l *List) addAddress(endpoint policy.Endpoint, hostPort string) *Error {
 	_, _, err := net.SplitHostPort(hostPort)
 	if err == nil {
@@ -153,8 +155,9 @@
 	return unconfiguredZone(e.Zone)
 }
 
-// unconfiguredZone returns the number of a zone that is not in the settings. The number is a hash of the name, below
-// UnknownZone, so that endpoints of the same zone share it and, hash collisions aside, different zones differ.
+// unconfiguredZone returns the number of a zone that is not in the settings. The number is a hash of the
+// name, below UnknownZone, so that endpoints of the same zone share it and, hash collisions aside, different
+// zones differ.
 func unconfiguredZone(name string) int {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, name) // a hash never returns an error
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against default values for missing fields. A response without instances was taken for a complete list of no
-// endpoints, and every request got a 503. Without lifecycle every endpoint was taken for draining, and without reset
-// a complete list was taken for changes. Each such response must be an error.
+// Guards against default values for missing fields. A response without instances was taken for a complete
+// list of no endpoints, and every request got a 503. Without lifecycle every endpoint was taken for draining,
+// and without reset a complete list was taken for changes. Each such response must be an error.
 func TestParseMissingField(t *testing.T) {
 	const usable = `{"instanceId":"s","hostPort":"127.0.0.1:80","lifecycle":"ready"}`
 	for _, test := range []struct {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards against a change of the format under the same magic number: sidecars of different builds run at the same
-// time and decode each other's datagrams.
+// Guards against a change of the format under the same magic number: sidecars of different builds run at the
+// same time and decode each other's datagrams.
 func TestWireFormat(t *testing.T) {
 	datagram := Encode(policy.GossipMessage{SentAt: 123456789 * time.Microsecond, RequestRate: 18.5, Responses: 40, Congestion: 0.125})
 	const want = "63686e31" + "15cd5b0700000000" + "00009441" + "00002042" + "0000003e"
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,8 +1,8 @@
 // Package loadreport decodes load reports of servers to policy.LoadReport.
 //
-// The settings name the values of a report in order; see ParseFormat. The simulator's protocol sends the values in
-// that order without names (Report). Servers send name=value pairs in the X-Server-Load header (DecodeText). Both
-// forms carry the same values.
+// The settings name the values of a report in order; see ParseFormat. The simulator's protocol sends the
+// values in that order without names (Report). Servers send name=value pairs in the X-Server-Load header
+// (DecodeText). Both forms carry the same values.
 package loadreport
 
 import (
@@ -32,13 +32,14 @@
 	field policy.ReportFields // 0: the name is unknown and the value is ignored
 }
 
-// Format is the order of the values in a load report. The zero value decodes every report to an empty LoadReport.
+// Format is the order of the values in a load report. The zero value decodes every report to an empty
+// LoadReport.
 type Format struct {
 	columns []column
 }
 
-// fieldsByName maps the column names of the settings to the fields of policy.LoadReport. The comments give the unit
-// of each column.
+// fieldsByName maps the column names of the settings to the fields of policy.LoadReport. The comments give
+// the unit of each column.
 var fieldsByName = map[string]policy.ReportFields{
 	"busy_reqs": policy.HasInFlight,    // requests
 	"pending":   policy.HasQueued,      // requests
@@ -97,23 +98,23 @@
 	}
 }
 
-// DecodeText converts a report of the form "TEXT name=value, name=value". Text of another form results in an empty
-// LoadReport. A value that is missing or not a number is treated as absent.
+// DecodeText converts a report of the form "TEXT name=value, name=value". Text of another form results in an
+// empty LoadReport. A value that is missing or not a number is treated as absent.
 func (f Format) DecodeText(text string) policy.LoadReport {
 	pairs, ok := strings.CutPrefix(strings.TrimSpace(text), textPrefix)
 	if !ok {
 		return policy.LoadReport{}
 	}
-	report := f.absent()
+	report := f.emptyReport()
 	for pair := range strings.SplitSeq(pairs, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		f.setNamed(&report, name, value)
+		f.setByName(&report, name, value)
 	}
 	return f.Decode(report)
 }
 
-// absent returns a report of this format in which all values are absent.
-func (f Format) absent() Report {
+// emptyReport returns a report of this format in which all values are absent.
+func (f Format) emptyReport() Report {
 	report := Report{Count: min(len(f.columns), MaxValues)}
 	for i := range report.Count {
 		report.Values[i] = float32(math.NaN())
@@ -121,8 +122,8 @@
 	return report
 }
 
-// setNamed sets the value of each column called name, unless value is not a number.
-func (f Format) setNamed(report *Report, name, value string) {
+// setByName sets the value of each column called name, unless value is not a number.
+func (f Format) setByName(report *Report, name, value string) {
 	for i := range report.Count {
 		if f.columns[i].name != name {
 			continue
--- a/internal/millis/millis.go
+++ b/internal/millis/millis.go
@@ -1,5 +1,5 @@
-// Package millis converts between time.Duration and fractional milliseconds, the unit of time in the settings, the
-// load reports and the simulator's protocol.
+// Package millis converts between time.Duration and fractional milliseconds, the unit of time in the
+// settings, the load reports and the simulator's protocol.
 package millis
 
 import (
@@ -9,12 +9,13 @@
 
 const (
 	nanosecondsPerMillisecond = 1e6
-	// maxNanoseconds is half the range of a duration, so that adding a time to a clamped value does not overflow.
+	// maxNanoseconds is half the range of a duration, so that adding a realistic time to a clamped
+	// value does not overflow.
 	maxNanoseconds = 1 << 62
 )
 
-// ToDuration converts milliseconds to a duration, rounded to nanoseconds. Values beyond ±maxNanoseconds are clamped.
-// NaN is converted to 0.
+// ToDuration converts milliseconds to a duration, rounded to nanoseconds. Values beyond ±maxNanoseconds are
+// clamped. NaN is converted to 0.
 func ToDuration(ms float64) time.Duration {
 	ns := math.Round(ms * nanosecondsPerMillisecond)
 	switch {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// ErrNotCount is wrapped by the ValueError for a count that is negative, fractional or above maxCount.
-var ErrNotCount = errors.New("must be a whole number from 0 to 65536")
+// ErrInvalidCount is wrapped by the ValueError for a count that is negative, fractional or above maxCount.
+var ErrInvalidCount = errors.New("must be a whole number from 0 to 65536")
 
 // ValueError reports a setting whose value cannot be converted or used.
 type ValueError struct {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Parse parses path=value lines; empty lines are skipped. Keys are not checked, so that settings of later versions
-// are accepted. Parse returns a *LineError for a line without "=".
+// Parse parses path=value lines; empty lines are skipped. Keys are not checked, so that settings of later
+// versions are accepted. Parse returns a *LineError for a line without "=".
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{values: make(map[string]string, expectedKeys)}
 	for i, line := range bytes.Split(text, []byte{'\n'}) {
@@ -26,10 +26,10 @@
 	return s, nil
 }
 
-// ParseJSON parses nested JSON. The length of a list is stored as PATH.count. Items that are objects are stored
-// under PATH.0, PATH.1 and so on. Other items are joined by commas and stored as PATH; a comma within an item becomes
-// "_". A null is treated as absent.
-// ParseJSON returns a *JSONError if the text does not start with a JSON object.
+// ParseJSON parses nested JSON. The length of a list is stored as PATH.count. Items that are objects are
+// stored under PATH.0, PATH.1 and so on. Other items are joined by commas and stored as PATH; a comma within
+// an item becomes "_". A null is treated as absent. ParseJSON returns a *JSONError if the text does not start
+// with a JSON object.
 func ParseJSON(text []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber() // keeps the text of numbers, as in the path=value form
--- a/internal/settings/policyconfig.go
+++ b/internal/settings/policyconfig.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// idempotency maps a value of the setting "semantics". An unknown value is mapped to NonIdempotent, the strictest.
+// idempotency maps a value of the setting "semantics". An unknown value is mapped to NonIdempotent, the
+// strictest.
 func idempotency(semantics string) policy.Idempotency {
 	switch semantics {
 	case "free":
@@ -107,8 +108,8 @@
 	return policy.NonIdempotent
 }
 
-// dedupScope maps a value of the setting "dedup_scope". An unknown value is mapped to DedupInCell, the smallest
-// scope.
+// dedupScope maps a value of the setting "dedup_scope". An unknown value is mapped to DedupInCell, the
+// smallest scope.
 func dedupScope(scope string) policy.DedupScope {
 	switch scope {
 	case "all":
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,11 +1,11 @@
 // Package settings reads the start-up settings of a load balancer instance.
 //
-// The settings are a tree in one of two forms: path=value lines from the simulator (Parse) or nested JSON in a
-// sidecar's configuration file (ParseJSON). Both are flattened to a map from path, such as "classes.0.name", to
-// text. Typed accessors convert the text when a value is read.
+// The settings are a tree in one of two forms: path=value lines from the simulator (Parse) or nested JSON in
+// a sidecar's configuration file (ParseJSON). Both are flattened to a map from path, such as
+// "classes.0.name", to text. Typed accessors convert the text when a value is read.
 //
-// PolicyConfig and SidecarConfig map the key names of the settings (orgs, semantics, aim_ms, ...) to the terms of
-// this code. No other package uses the key names.
+// PolicyConfig and SidecarConfig map the key names of the settings (orgs, semantics, aim_ms, ...) to the
+// terms of this code. No other package contains this mapping.
 package settings
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	// maxCount is the maximum of a count; ErrNotCount names it. It is far above the length of any real list, and
-	// prevents a malformed value from causing a large allocation.
+	// maxCount is the maximum of a count; ErrInvalidCount names it. It is far above the length of any real
+	// list, and prevents a malformed value from causing a large allocation.
 	maxCount = 1 << 16
 	// expectedKeys is the typical number of keys, used as the initial capacity of the map.
 	expectedKeys = 128
 )
 
-// Settings holds the start-up settings of an instance. If a value cannot be converted, its accessor returns a zero
-// value and Settings keeps the first such error for Err. A caller can therefore read many values and check for an
-// error once.
+// Settings holds the start-up settings of an instance. If a value cannot be converted, its accessor returns a
+// zero value and Settings keeps the first such error for Err. A caller can therefore read many values and
+// check for an error once.
 type Settings struct {
 	values map[string]string // text by path
 	err    error             // a *ValueError for the first value that could not be converted, or nil
@@ -47,7 +47,7 @@
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		s.fail(key, err)
+		s.recordError(key, err)
 	}
 	return number
 }
@@ -56,7 +56,7 @@
 func (s *Settings) Count(key string) int {
 	number := s.Number(key)
 	if number < 0 || number > maxCount || number != float64(int(number)) {
-		s.fail(key, fmt.Errorf("invalid count %v: %w", number, ErrNotCount))
+		s.recordError(key, fmt.Errorf("invalid count %v: %w", number, ErrInvalidCount))
 		return 0
 	}
 	return int(number)
@@ -74,7 +74,7 @@
 func (s *Settings) Err() error { return s.err }
 
 // recordError stores a *ValueError for key, unless an earlier error is stored.
-func (s *Settings) fail(key string, err error) {
+func (s *Settings) recordError(key string, err error) {
 	if s.err == nil {
 		s.err = &ValueError{Key: key, Value: s.values[key], Err: err}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Guards against a key that is mapped to a wrong field: adding one setting must change the listed fields of the
-// configuration and no other.
+// Guards against a key that is mapped to a wrong field: adding one setting must change the listed fields of
+// the configuration and no other.
 func TestPolicyConfigKeys(t *testing.T) {
 	const ms250 = 250 * time.Millisecond
 	for _, test := range []struct {
@@ -134,9 +134,9 @@
 		err          error
 	}{
 		{"balancers=three", "balancers", strconv.ErrSyntax},
-		{"classes.count=-1", "classes.count", ErrNotCount},
-		{"classes.count=1e9", "classes.count", ErrNotCount},
-		{"orgs.count=1.5", "orgs.count", ErrNotCount},
+		{"classes.count=-1", "classes.count", ErrInvalidCount},
+		{"classes.count=1e9", "classes.count", ErrInvalidCount},
+		{"orgs.count=1.5", "orgs.count", ErrInvalidCount},
 	} {
 		t.Run(test.setting, func(t *testing.T) {
 			_, err := parse(t, test.setting).PolicyConfig()
@@ -220,7 +220,7 @@
 		"idle timeout missing":   {"caps.conn_idle_ms=", "caps.conn_idle_ms", ErrNotPositive},
 		"dial timeout negative":  {"caps.dial_timeout_ms=-1", "caps.dial_timeout_ms", ErrNotPositive},
 		"limit negative":         {"caps.max_open=-1", "caps.max_open", ErrNegative},
-		"class count fractional": {"classes.count=1.5", "classes.count", ErrNotCount},
+		"class count fractional": {"classes.count=1.5", "classes.count", ErrInvalidCount},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parse(t, usable+test.line+"\n").SidecarConfig()
--- a/internal/settings/sidecarconfig.go
+++ b/internal/settings/sidecarconfig.go
@@ -15,8 +15,8 @@
 	ErrNegative    = errors.New("must not be negative")
 )
 
-// SidecarConfig holds the settings that a sidecar needs in addition to its policy.Config. The index of a class,
-// tenant or zone name is the number that package policy uses for it.
+// SidecarConfig holds the settings that a sidecar needs in addition to its policy.Config. The index of a
+// class, tenant or zone name is the number that package policy uses for it.
 type SidecarConfig struct {
 	ClassNames  []string
 	TenantNames []string
@@ -29,8 +29,8 @@
 	DrainGrace        time.Duration     // time within which sends to a draining server must stop; 0: unknown
 }
 
-// SidecarConfig converts the settings that a sidecar needs in addition to PolicyConfig. It returns a *ValueError for
-// the first value that cannot be converted or used.
+// SidecarConfig converts the settings that a sidecar needs in addition to PolicyConfig. It returns a
+// *ValueError for the first value that cannot be converted or used.
 func (s *Settings) SidecarConfig() (SidecarConfig, error) {
 	config := SidecarConfig{
 		ClassNames:        s.names("classes"),
@@ -43,7 +43,7 @@
 		DrainGrace:        s.Duration("rules.stop_sending_within_ms"),
 	}
 	if config.MaxInFlight < 0 {
-		s.fail("caps.max_open", fmt.Errorf("invalid limit %d: %w", config.MaxInFlight, ErrNegative))
+		s.recordError("caps.max_open", fmt.Errorf("invalid limit %d: %w", config.MaxInFlight, ErrNegative))
 	}
 	return config, s.Err()
 }
@@ -61,7 +61,7 @@
 func (s *Settings) positiveDuration(key string) time.Duration {
 	d := s.Duration(key)
 	if d <= 0 {
-		s.fail(key, fmt.Errorf("invalid duration %v: %w", d, ErrNotPositive))
+		s.recordError(key, fmt.Errorf("invalid duration %v: %w", d, ErrNotPositive))
 	}
 	return d
 }
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -97,8 +97,8 @@
 	StateDraining = 2
 )
 
-// resultOf maps a result code. An unknown code is mapped to ServerError, because the server may have executed the
-// attempt.
+// resultOf maps a result code. An unknown code is mapped to ServerError, because the server may have executed
+// the attempt.
 func resultOf(code uint16) policy.Result {
 	switch code {
 	case ResultSucceeded:
@@ -119,8 +119,8 @@
 	return policy.ServerError
 }
 
-// updateKindOf maps the kind of an endpoint update. ok is false for an unknown kind, which a later version of the
-// protocol may have.
+// updateKindOf maps the kind of an endpoint update. ok is false for an unknown kind, which a later version of
+// the protocol may have.
 func updateKindOf(code uint8) (kind policy.UpdateKind, ok bool) {
 	switch code {
 	case UpdateFull:
@@ -135,8 +135,8 @@
 	return 0, false
 }
 
-// endpointStateOf maps the state of an endpoint. An unknown state is mapped to Draining: the endpoint gets no new
-// requests.
+// endpointStateOf maps the state of an endpoint. An unknown state is mapped to Draining: the endpoint gets no
+// new requests.
 func endpointStateOf(code uint8) policy.EndpointState {
 	switch code {
 	case StateReady:
--- a/internal/simprotocol/cursor.go
+++ b/internal/simprotocol/cursor.go
@@ -16,8 +16,8 @@
 	reportValueLen = 4 // float32
 )
 
-// cursor decodes the fields of a record in order. A field that is missing sets truncated; it and all further fields
-// are decoded as zero. A caller can therefore decode all fields and call err once.
+// cursor decodes the fields of a record in order. A field that is missing sets truncated; it and all further
+// fields are decoded as zero. A caller can therefore decode all fields and call err once.
 type cursor struct {
 	code      EventCode // event code of the record, for error messages
 	remaining []byte    // bytes that have not been decoded
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -64,7 +64,8 @@
 // Unwrap returns the underlying error.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// truncated returns an error that wraps ErrTruncated and gives the number of bytes required and remaining.
-func truncated(required uint64, remaining int) error {
+// truncatedError returns an error that wraps ErrTruncated and gives the number of bytes required and
+// remaining.
+func truncatedError(required uint64, remaining int) error {
 	return fmt.Errorf("%w: %d bytes required, %d remain", ErrTruncated, required, remaining)
 }
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,11 +1,11 @@
 // Package simprotocol encodes and decodes the simulator's binary protocol.
 //
 // The simulator sends batches of event records. Each batch is answered by one reply, which consists of action
-// records. All numbers are little-endian, and all times are float64 milliseconds. A later version of the protocol may
-// append fields to a record: bytes after the known fields are ignored.
+// records. All numbers are little-endian, and all times are float64 milliseconds. A later version of the
+// protocol may append fields to a record: bytes after the known fields are ignored.
 //
-// This package maps the names of the protocol (Ask, CallOut, PushBack, ...) to the terms of package policy; no other
-// package uses them. The mapping is in codes.go.
+// This package maps the names of the protocol (Ask, CallOut, PushBack, ...) to the terms of package policy;
+// no other package contains this mapping. The tables are in codes.go.
 package simprotocol
 
 import (
@@ -24,8 +24,8 @@
 const (
 	batchHeaderLen  = 20
 	recordHeaderLen = 6
-	// maxBatchLen is the maximum size of a batch's body. Real batches have up to some megabytes; a larger declared
-	// size indicates a corrupt stream.
+	// maxBatchLen is the maximum size of a batch's body. Real batches reach a few megabytes; a larger
+	// declared size indicates a corrupt stream.
 	maxBatchLen = 1 << 28
 	// readChunkLen is the maximum that is allocated ahead of the bytes received.
 	readChunkLen = 1 << 20
@@ -49,8 +49,8 @@
 // NewReader returns a Reader that reads from source, which should be buffered.
 func NewReader(source io.Reader) *Reader { return &Reader{source: source} }
 
-// ReadBatch reads the next batch. It returns io.EOF if the input ends between two batches, and a *BatchError for any
-// other failure.
+// ReadBatch reads the next batch. It returns io.EOF if the input ends between two batches, and a *BatchError
+// for any other failure.
 func (r *Reader) ReadBatch() (Batch, error) {
 	_, err := io.ReadFull(r.source, r.header[:])
 	if errors.Is(err, io.EOF) {
@@ -84,13 +84,13 @@
 		return Batch{}, 0, &BatchError{Number: number, Part: PartBody, Err: err}
 	}
 	if minSize := uint64(records) * recordHeaderLen; minSize > uint64(size) {
-		return Batch{}, 0, &BatchError{Number: number, Part: PartRecords, Err: truncated(minSize, int(size))}
+		return Batch{}, 0, &BatchError{Number: number, Part: PartRecords, Err: truncatedError(minSize, int(size))}
 	}
 	return Batch{Number: number, RecordCount: records, Time: millis.ToDuration(now)}, size, nil
 }
 
-// readBody reads size bytes into r.body. The buffer grows as bytes arrive, so that a wrong size in a short stream does
-// not cause a large allocation.
+// readBody reads size bytes into r.body. The buffer grows as bytes arrive, so that a wrong size in a short
+// stream does not cause a large allocation.
 func (r *Reader) readBody(size int) error {
 	r.body = r.body[:0]
 	for len(r.body) < size {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Record is one event record of a batch. Each of its methods decodes the fields of the event code that it documents,
-// and returns a *RecordError if fields are missing.
+// Record is one event record of a batch. Each of its methods decodes the fields of the event code that it
+// documents, and returns a *RecordError if fields are missing.
 type Record struct {
 	Code   EventCode
 	Fields []byte // encoded fields; valid as long as the body of the batch
@@ -118,13 +118,13 @@
 // NextRecord decodes the header of the first record in body. It returns the record and the bytes after it.
 func NextRecord(body []byte) (Record, []byte, error) {
 	if len(body) < recordHeaderLen {
-		return Record{}, nil, &RecordError{Part: PartHeader, Err: truncated(recordHeaderLen, len(body))}
+		return Record{}, nil, &RecordError{Part: PartHeader, Err: truncatedError(recordHeaderLen, len(body))}
 	}
 	code := EventCode(binary.LittleEndian.Uint16(body))
 	size := binary.LittleEndian.Uint32(body[2:])
 	body = body[recordHeaderLen:]
 	if uint64(size) > uint64(len(body)) {
-		return Record{}, nil, &RecordError{Code: code, Part: PartFields, Err: truncated(uint64(size), len(body))}
+		return Record{}, nil, &RecordError{Code: code, Part: PartFields, Err: truncatedError(uint64(size), len(body))}
 	}
 	return Record{Code: code, Fields: body[:size]}, body[size:], nil
 }
--- a/internal/simprotocol/frame_test.go
+++ b/internal/simprotocol/frame_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestReadBatch(t *testing.T) {
-	reader := NewReader(bytes.NewReader(unhex(t, `0c000000 03000000 4d000000 00000000206ec040
+	reader := NewReader(bytes.NewReader(decodeHex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
 		2e04 0c000000 03000000 4d00000000000000
 		4204 08000000 05000000 192b6f0e`)))
@@ -35,7 +35,7 @@
 
 func TestReadBatchOfSeveralChunks(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789"), readChunkLen/4)
-	reader := NewReader(bytes.NewReader(append(frame(1, uint32(len(body)), 0, string(body)), frame(0, 0, 0, "")...)))
+	reader := NewReader(bytes.NewReader(append(encodeBatch(1, uint32(len(body)), 0, string(body)), encodeBatch(0, 0, 0, "")...)))
 	if batch, err := reader.ReadBatch(); err != nil || !bytes.Equal(batch.Body, body) {
 		t.Errorf("ReadBatch() body has %d bytes, error %v, want %d bytes", len(batch.Body), err, len(body))
 	}
@@ -52,13 +52,13 @@
 		err   error
 	}{
 		{"truncated header", []byte{1, 2, 3}, PartHeader, io.ErrUnexpectedEOF},
-		{"truncated body", frame(1, 100, 0, "short"), PartBody, io.ErrUnexpectedEOF},
-		{"missing body", frame(1, 100, 0, ""), PartBody, io.ErrUnexpectedEOF},
-		{"oversized", frame(1, 1<<31, 0, ""), PartBody, ErrTooLarge},
-		{"large and truncated", frame(1, maxBatchLen, 0, "short"), PartBody, io.ErrUnexpectedEOF},
-		{"more records than fit", frame(100, 6, 0, "abcdef"), PartRecords, ErrTruncated},
-		{"time not a number", frame(0, 0, math.NaN(), ""), PartTime, ErrNotFinite},
-		{"time infinite", frame(0, 0, math.Inf(1), ""), PartTime, ErrNotFinite},
+		{"truncated body", encodeBatch(1, 100, 0, "short"), PartBody, io.ErrUnexpectedEOF},
+		{"missing body", encodeBatch(1, 100, 0, ""), PartBody, io.ErrUnexpectedEOF},
+		{"oversized", encodeBatch(1, 1<<31, 0, ""), PartBody, ErrTooLarge},
+		{"large and truncated", encodeBatch(1, maxBatchLen, 0, "short"), PartBody, io.ErrUnexpectedEOF},
+		{"more records than fit", encodeBatch(100, 6, 0, "abcdef"), PartRecords, ErrTruncated},
+		{"time not a number", encodeBatch(0, 0, math.NaN(), ""), PartTime, ErrNotFinite},
+		{"time infinite", encodeBatch(0, 0, math.Inf(1), ""), PartTime, ErrNotFinite},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := NewReader(bytes.NewReader(test.input)).ReadBatch()
@@ -83,7 +83,7 @@
 		{"record longer than the batch", "e803 ff000000 03000000", EventHealthChecked, PartFields},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, _, err := NextRecord(unhex(t, test.input))
+			_, _, err := NextRecord(decodeHex(t, test.input))
 			checkRecordError(t, err, test.code, test.part)
 		})
 	}
@@ -91,8 +91,8 @@
 
 // Verifies that no input makes a decoder panic.
 func FuzzReader(f *testing.F) {
-	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
-	f.Add(frame(0, 0, 0, ""))
+	f.Add(encodeBatch(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
+	f.Add(encodeBatch(0, 0, 0, ""))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		batch, err := NewReader(bytes.NewReader(data)).ReadBatch()
 		if err != nil {
--- a/internal/simprotocol/helpers_test.go
+++ b/internal/simprotocol/helpers_test.go
@@ -11,9 +11,9 @@
 	"cranehatch/policy"
 )
 
-// unhex decodes hexadecimal text with white space. Most records in the tests are the examples of the protocol
-// documentation.
-func unhex(t testing.TB, text string) []byte {
+// decodeHex decodes hexadecimal text with white space. Most records in the tests are the examples of the
+// protocol documentation.
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(text))
 	if err != nil {
@@ -35,12 +35,12 @@
 // exampleEndpoint returns the ID of the first endpoint in the example list of the protocol documentation.
 func exampleEndpoint(t testing.TB) policy.EndpointID {
 	t.Helper()
-	c := cursor{remaining: unhex(t, "0a124a07 931f")}
+	c := cursor{remaining: decodeHex(t, "0a124a07 931f")}
 	return c.endpointID()
 }
 
-// frame encodes a batch with number 1.
-func frame(records, size uint32, now float64, body string) []byte {
+// encodeBatch encodes a batch with number 1.
+func encodeBatch(records, size uint32, now float64, body string) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, 1)
 	b = binary.LittleEndian.AppendUint32(b, records)
 	b = binary.LittleEndian.AppendUint32(b, size)
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -61,7 +61,7 @@
 	list = c.uint16()
 	count := c.uint32()
 	if size := uint64(count) * endpointLen; c.truncated || size > uint64(len(c.remaining)) {
-		err := fmt.Errorf("%d endpoints: %w", count, truncated(size, len(c.remaining)))
+		err := fmt.Errorf("%d endpoints: %w", count, truncatedError(size, len(c.remaining)))
 		return 0, nil, &RecordError{Code: r.Code, Part: PartList, Err: err}
 	}
 	endpoints = make([]policy.Endpoint, count)
--- a/internal/simprotocol/record_test.go
+++ b/internal/simprotocol/record_test.go
@@ -28,7 +28,7 @@
 		{"client retry", "0200", retry},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			record, _ := nextRecord(t, unhex(t, head+test.flags+tail))
+			record, _ := nextRecord(t, decodeHex(t, head+test.flags+tail))
 			if got, err := record.RequestArrived(); err != nil || got != test.want {
 				t.Errorf("RequestArrived() = %+v, error %v, want %+v", got, err, test.want)
 			}
@@ -37,14 +37,14 @@
 }
 
 func TestTimerCookie(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, "2e04 0c000000 03000000 4d00000000000000"))
+	record, _ := nextRecord(t, decodeHex(t, "2e04 0c000000 03000000 4d00000000000000"))
 	if cookie, err := record.TimerCookie(); err != nil || cookie != 77 {
 		t.Errorf("TimerCookie() = %d, error %v, want 77", cookie, err)
 	}
 }
 
 func TestRequestID(t *testing.T) {
-	record, remaining := nextRecord(t, unhex(t, "4204 08000000 05000000 192b6f0e"))
+	record, remaining := nextRecord(t, decodeHex(t, "4204 08000000 05000000 192b6f0e"))
 	id, err := record.RequestID()
 	if instance, _ := record.Instance(); err != nil || id != 0x0e6f2b19 || instance != 5 || len(remaining) != 0 {
 		t.Errorf("RequestID() = %x for instance %d, error %v, %d bytes remain, want e6f2b19 for instance 5, none remain", id, instance, err, len(remaining))
@@ -52,7 +52,7 @@
 }
 
 func TestEndpointList(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, `f203 34000000 0000 02000000
+	record, _ := nextRecord(t, decodeHex(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`))
 	list, endpoints, err := record.EndpointList()
@@ -66,7 +66,7 @@
 }
 
 func TestEndpointFields(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, `f203 1d000000 0300 01000000
+	record, _ := nextRecord(t, decodeHex(t, `f203 1d000000 0300 01000000
 		090000000000 01 05 0300 01 00002040 0000000000408f40`))
 	list, endpoints, err := record.EndpointList()
 	want := []policy.Endpoint{{ID: 9, Zone: 1, Cell: 3, State: policy.Ready, Weight: 2.5, StartedAt: time.Second}}
@@ -76,7 +76,7 @@
 }
 
 func TestAttemptEnded(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
+	record, _ := nextRecord(t, decodeHex(t, "2404 1b000000 03000000 c4913a5d 00 0a124a07 931f 6400 0000000000803240 01 00"))
 	got, err := record.AttemptEnded()
 	want := AttemptEnded{RequestID: 0x5d3a91c4, Endpoint: exampleEndpoint(t), Result: policy.Succeeded, Duration: 18500 * time.Microsecond, Answered: true}
 	if err != nil || got != want {
@@ -95,7 +95,7 @@
 		{"failed", "2d01", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			record, _ := nextRecord(t, unhex(t, "e803 25000000 03000000 0a9011f2 bc1f "+test.result+report))
+			record, _ := nextRecord(t, decodeHex(t, "e803 25000000 03000000 0a9011f2 bc1f "+test.result+report))
 			want.Healthy = test.healthy
 			if got, err := record.HealthChecked(); err != nil || got != want {
 				t.Errorf("HealthChecked() = %+v, error %v, want %+v", got, err, want)
@@ -104,10 +104,10 @@
 	}
 }
 
-// Verifies that values beyond loadreport.MaxValues are skipped: the next field must be decoded from the bytes after
-// them.
+// Verifies that values beyond loadreport.MaxValues are skipped: the next field must be decoded from the bytes
+// after them.
 func TestLoadReportOfManyValues(t *testing.T) {
-	values := unhex(t, "05 0000803f 0000803f 0000803f 0000803f 0000e040")
+	values := decodeHex(t, "05 0000803f 0000803f 0000803f 0000803f 0000e040")
 	c := cursor{remaining: append(values, 9)}
 	if got := c.loadReport(); got.Count != loadreport.MaxValues || c.uint8() != 9 || c.err() != nil {
 		t.Errorf("loadReport() = %+v, error %v, want MaxValues values and the next field to be 9", got, c.err())
@@ -126,7 +126,7 @@
 		{"later version", "05", EndpointsUpdated{Version: 41, List: 7}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			record, _ := nextRecord(t, unhex(t, "1a04 0b000000 03000000 "+test.kind+" 29000000 0700"))
+			record, _ := nextRecord(t, decodeHex(t, "1a04 0b000000 03000000 "+test.kind+" 29000000 0700"))
 			if got, err := record.EndpointsUpdated(); err != nil || got != test.want {
 				t.Errorf("EndpointsUpdated() = %+v, error %v, want %+v", got, err, test.want)
 			}
@@ -135,14 +135,14 @@
 }
 
 func TestInstanceStarted(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, "4c04 16000000 03000000 0500000000000000 06000000 7a6f6e653d31"))
+	record, _ := nextRecord(t, decodeHex(t, "4c04 16000000 03000000 0500000000000000 06000000 7a6f6e653d31"))
 	if got, err := record.InstanceStarted(); err != nil || got.Seed != 5 || string(got.Settings) != "zone=1" {
 		t.Errorf("InstanceStarted() = %+v, error %v, want seed 5 and settings zone=1", got, err)
 	}
 }
 
 func TestGossipReceived(t *testing.T) {
-	record, _ := nextRecord(t, unhex(t, "1004 0e000000 03000000 02000000 0400 68692037"))
+	record, _ := nextRecord(t, decodeHex(t, "1004 0e000000 03000000 02000000 0400 68692037"))
 	if record.Code != EventGossipReceived {
 		t.Fatalf("NextRecord() = %+v, want an EventGossipReceived", record)
 	}
@@ -170,7 +170,7 @@
 		{"list of 4,294,967,295 endpoints", EventEndpointList, PartList, "0000 ffffffff", func(r Record) error { _, _, err := r.EndpointList(); return err }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			checkRecordError(t, test.decode(Record{Code: test.code, Fields: unhex(t, test.fields)}), test.code, test.part)
+			checkRecordError(t, test.decode(Record{Code: test.code, Fields: decodeHex(t, test.fields)}), test.code, test.part)
 		})
 	}
 }
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -20,11 +20,12 @@
 )
 
 const (
-	toAllInstances = math.MaxUint16 // instance number that addresses all other instances
-	maxTextLen     = math.MaxUint16 // bytes; longer texts are truncated
+	allOtherInstances = math.MaxUint16 // instance number that addresses all other instances
+	maxTextLen        = math.MaxUint16 // bytes; longer texts are truncated
 )
 
-// Reply encodes the actions that answer one batch. Begin must be called first; the zero value is ready for it.
+// Reply encodes the actions that answer one batch. Begin must be called first; the zero value is ready for
+// it.
 type Reply struct {
 	buf   []byte // header and actions
 	count uint32 // number of actions
@@ -53,7 +54,8 @@
 	r.endAction(start)
 }
 
-// Reject ends a request that had no effect on a server, so that the client may retry it, preferably after retryAfter.
+// Reject ends a request that had no effect on a server, so that the client may retry it, preferably after
+// retryAfter.
 func (r *Reply) Reject(instance uint32, id policy.RequestID, retryAfter time.Duration) {
 	start := r.beginAction(ActionReject, instance)
 	r.requestID(id)
@@ -109,7 +111,7 @@
 // Broadcast sends a message to all other instances. data must have at most 65,535 bytes.
 func (r *Reply) Broadcast(instance uint32, data []byte) {
 	start := r.beginAction(ActionBroadcast, instance)
-	r.uint16(toAllInstances)
+	r.uint16(allOtherInstances)
 	r.uint16(uint16(len(data)))
 	r.buf = append(r.buf, data...)
 	r.endAction(start)
@@ -129,8 +131,8 @@
 	r.endAction(start)
 }
 
-// beginAction appends the header of an action with a size of 0, and the instance number. It returns the offset of the
-// header.
+// beginAction appends the header of an action with a size of 0, and the instance number. It returns the
+// offset of the header.
 func (r *Reply) beginAction(code ActionCode, instance uint32) (start int) {
 	start = len(r.buf)
 	r.count++
--- a/internal/simprotocol/reply_test.go
+++ b/internal/simprotocol/reply_test.go
@@ -21,7 +21,7 @@
 	reply.CloseIdle(3, endpoint)
 	reply.Fault(3, "index out of range")
 	reply.Broadcast(3, []byte("hi 7"))
-	want := unhex(t, `0c000000 e1000000 0b000000
+	want := decodeHex(t, `0c000000 e1000000 0b000000
 		e803 16000000 03000000 c4913a5d 0a124a07 931f 0000000000005440
 		1004 14000000 03000000 0000000000407f40 4d00000000000000
 		3804 17000000 03000000 1100 74776f2073657276657273206b6e6f776e
@@ -37,7 +37,7 @@
 		t.Fatalf("Bytes() =\n%x\nwant\n%x", got, want)
 	}
 	reply.Begin(1)
-	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
+	if got := reply.Bytes(); !bytes.Equal(got, decodeHex(t, "01000000 00000000 00000000")) {
 		t.Fatalf("Bytes() = %x after Begin, want a header without actions", got)
 	}
 }
