--- a/internal/simprotocol/reply_test.go
+++ b/internal/simprotocol/reply_test.go
@@ -21,7 +21,7 @@
 	reply.CloseIdle(3, endpoint)
 	reply.Fault(3, "index out of range")
 	reply.Broadcast(3, []byte("hi 7"))
-	want := unhex(t, `0c000000 e1000000 0b000000
+	want := decodeHex(t, `0c000000 e1000000 0b000000
 		e803 16000000 03000000 c4913a5d 0a124a07 931f 0000000000005440
 		1004 14000000 03000000 0000000000407f40 4d00000000000000
 		3804 17000000 03000000 1100 74776f2073657276657273206b6e6f776e
@@ -34,11 +34,11 @@
 		4204 18000000 03000000 1200 696e646578206f7574206f662072616e6765
 		2e04 0c000000 03000000 ffff 0400 68692037`)
 	if got := reply.Bytes(); !bytes.Equal(got, want) {
-		t.Fatalf("reply\n%x\nwant\n%x", got, want)
+		t.Fatalf("Bytes() =\n%x\nwant\n%x", got, want)
 	}
 	reply.Begin(1)
-	if got := reply.Bytes(); !bytes.Equal(got, unhex(t, "01000000 00000000 00000000")) {
-		t.Fatalf("empty reply %x", got)
+	if got := reply.Bytes(); !bytes.Equal(got, decodeHex(t, "01000000 00000000 00000000")) {
+		t.Fatalf("Bytes() = %x after Begin, want a header without actions", got)
 	}
 }
 
@@ -47,6 +47,6 @@
 	reply.Begin(1)
 	reply.Log(3, string(make([]byte, maxTextLen+1)))
 	if got, want := len(reply.Bytes()), replyHeaderLen+actionHeaderLen+4+2+maxTextLen; got != want {
-		t.Errorf("%d bytes, want %d", got, want)
+		t.Errorf("len(Bytes()) = %d, want %d", got, want)
 	}
 }
