--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -149,16 +149,16 @@
 
 func (i *instance) endpointsUpdated(now time.Duration, record simprotocol.Record) error {
 	event, err := record.EndpointsUpdated()
-	if err != nil || !event.Known {
+	if err != nil || !event.KindKnown {
 		return err
 	}
 	if event.Kind == policy.UpdateFailed {
 		i.balancer.UpdateEndpoints(now, event.Kind, nil)
 		return nil
 	}
-	endpoints, ok := i.adapter.endpointLists[event.List]
+	endpoints, ok := i.adapter.endpointLists[event.ListNumber]
 	if !ok {
-		return fmt.Errorf("instance %d: endpoint list %d was never sent", i.number, event.List)
+		return fmt.Errorf("instance %d: endpoint list %d was never sent", i.number, event.ListNumber)
 	}
 	i.balancer.UpdateEndpoints(now, event.Kind, endpoints)
 	return nil
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -42,10 +42,10 @@
 
 // EndpointsUpdated holds the fields of an EventEndpointsUpdated: which endpoint list applies to an instance.
 type EndpointsUpdated struct {
-	Known   bool // Kind is valid; false: an unknown kind of a later protocol version, ignore the update
-	Kind    policy.UpdateKind
-	Version uint32 // version of the endpoint list in discovery
-	List    uint16 // number of the list in an earlier EventEndpointList; unused if Kind is policy.UpdateFailed
+	KindKnown  bool // Kind is valid; false: an unknown kind of a later protocol version, ignore the update
+	Kind       policy.UpdateKind
+	Version    uint32 // version of the endpoint list in discovery
+	ListNumber uint16 // number of the list in an earlier EventEndpointList; unused if Kind is policy.UpdateFailed
 }
 
 // Instance decodes the instance number of a record. Every event but EventEndpointList has one.
@@ -97,9 +97,9 @@
 func (r Record) EndpointsUpdated() (EndpointsUpdated, error) {
 	c := r.instanceFields()
 	var event EndpointsUpdated
-	event.Kind, event.Known = updateKindOf(c.uint8())
+	event.Kind, event.KindKnown = updateKindOf(c.uint8())
 	event.Version = c.uint32()
-	event.List = c.uint16()
+	event.ListNumber = c.uint16()
 	return event, c.err()
 }
 
--- a/internal/simprotocol/record_test.go
+++ b/internal/simprotocol/record_test.go
@@ -119,11 +119,11 @@
 		name, kind string
 		want       EndpointsUpdated
 	}{
-		{"full", "01", EndpointsUpdated{Known: true, Kind: policy.FullUpdate, Version: 41, List: 7}},
-		{"delta", "02", EndpointsUpdated{Known: true, Kind: policy.DeltaUpdate, Version: 41, List: 7}},
-		{"cached", "03", EndpointsUpdated{Known: true, Kind: policy.CachedUpdate, Version: 41, List: 7}},
-		{"failed", "04", EndpointsUpdated{Known: true, Kind: policy.UpdateFailed, Version: 41, List: 7}},
-		{"later version", "05", EndpointsUpdated{Version: 41, List: 7}},
+		{"full", "01", EndpointsUpdated{KindKnown: true, Kind: policy.FullUpdate, Version: 41, ListNumber: 7}},
+		{"delta", "02", EndpointsUpdated{KindKnown: true, Kind: policy.DeltaUpdate, Version: 41, ListNumber: 7}},
+		{"cached", "03", EndpointsUpdated{KindKnown: true, Kind: policy.CachedUpdate, Version: 41, ListNumber: 7}},
+		{"failed", "04", EndpointsUpdated{KindKnown: true, Kind: policy.UpdateFailed, Version: 41, ListNumber: 7}},
+		{"later version", "05", EndpointsUpdated{Version: 41, ListNumber: 7}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			record, _ := nextRecord(t, decodeHex(t, "1a04 0b000000 03000000 "+test.kind+" 29000000 0700"))
