--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,8 +1,10 @@
-// Sidecar takes the requests of the application beside it and carries each to a server, as package policy decides.
+// Sidecar accepts the requests of the application beside it and forwards them to servers, as package policy
+// decides.
 //
-// It reads the configuration file that the environment variable EDGE_CONFIG names (internal/sidecar documents its
-// fields). SIGHUP has it read discovery's address again, SIGTERM or SIGINT has it drain and exit with code 0. When it
-// cannot serve it logs one line and exits with code 1.
+// It reads the configuration file named by the environment variable EDGE_CONFIG (package internal/sidecar
+// documents the fields). On SIGHUP it reloads the address of discovery from the file. On SIGTERM or SIGINT it
+// drains and exits with code 0. If it cannot start, or stops because of an error, it logs the error in one
+// line and exits with code 1.
 package main
 
 import (
@@ -17,25 +19,25 @@
 	"cranehatch/internal/sidecar"
 )
 
-// gcPercent lets the heap grow to five times its live size between collections: it is small, so frequent collections
-// would only cost CPU time.
+// gcPercent lets the heap grow to five times its live size between garbage collections. The live heap is
+// small, so more frequent collections would only cost CPU time.
 const gcPercent = 400
 
 func main() {
-	runtime.GOMAXPROCS(1) // the process has one core at most: more threads only cost
+	runtime.GOMAXPROCS(1) // the process gets at most one core, so more threads would only add overhead
 	debug.SetGCPercent(gcPercent)
 	if err := run(); err != nil {
-		slog.Error("the sidecar cannot go on", "error", err)
+		slog.Error("sidecar failed", "error", err)
 		os.Exit(1)
 	}
 }
 
-// run serves until a signal ends it. Signals are taken from the start, so that none is lost or ends the process while
-// the configuration is read.
+// run reads the configuration and serves until SIGTERM or SIGINT. It registers for the signals before it
+// reads the configuration, so that a signal during startup is not lost and does not kill the process.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	reload := make(chan os.Signal, 1) // several in a row count as one
+	reload := make(chan os.Signal, 1) // several pending SIGHUPs cause a single reload
 	signal.Notify(reload, syscall.SIGHUP)
 	cfg, err := sidecar.ReadConfig(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -47,6 +49,6 @@
 	return sidecar.Run(ctx, cfg, reload)
 }
 
-// memoryLimit is the size in bytes from which on the garbage collector works harder: half of that at which the process
-// is killed.
+// memoryLimit returns the soft memory limit of the Go runtime, in bytes. The garbage collector runs more
+// often as memory use approaches it. It is half of the size above which the platform kills the process.
 func memoryLimit(megabytes int) int64 { return int64(megabytes) << 20 / 2 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// runMain is the environment variable that has the test program run main instead of its tests.
+// runMain is the environment variable that makes the test binary run main instead of its tests.
 const runMain = "SIDECAR_TEST_RUN_MAIN"
 
-// TestMain lets the test program stand in for the sidecar's.
+// TestMain allows tests to start the test binary as the sidecar.
 func TestMain(m *testing.M) {
 	if os.Getenv(runMain) != "" {
 		main()
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// sidecarCommand is the sidecar's program with a configuration, not started yet.
+// sidecarCommand returns the command that runs the sidecar with a configuration. The caller starts it.
 func sidecarCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -38,29 +38,30 @@
 	return cmd
 }
 
-// validConfig has it listen on a port of the system's choice, with a discovery that can't be reached.
+// validConfig listens on a port chosen by the system. Its discovery is unreachable.
 const validConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
 	"settings":{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
 	"classes":[{"name":"a","aim_ms":500,"hard_limit_ms":1000}]}}`
 
-// A configuration that can't be used ends the program with one log line, which names the field.
+// The sidecar exits with an error if its configuration is invalid, and logs a single line that names the
+// field.
 func TestUnusableConfigEndsInOneLine(t *testing.T) {
 	var log bytes.Buffer
 	cmd := sidecarCommand(t, strings.Replace(validConfig, "30000", "0", 1))
 	cmd.Stderr = &log
 	err := cmd.Run()
 	if err == nil || !strings.Contains(log.String(), "caps.conn_idle_ms") || strings.Count(log.String(), "\n") != 1 {
-		t.Errorf("error %v, log %q, want one line that names the field", err, &log)
+		t.Errorf("error = %v, log = %q, want an error and one line that names caps.conn_idle_ms", err, &log)
 	}
 }
 
-// logLines reads the log of a program line by line. A program that hangs is killed, which ends the log.
+// logLines reads the log of a program line by line. killTimer kills a program that hangs, which ends the log.
 type logLines struct {
 	*bufio.Scanner
-	killer *time.Timer
+	killTimer *time.Timer
 }
 
-// startWithLog starts a program and returns its log.
+// startWithLog starts a program and returns its log. The program is killed at the end of the test.
 func startWithLog(t *testing.T, cmd *exec.Cmd) *logLines {
 	t.Helper()
 	log, err := cmd.StderrPipe()
@@ -71,16 +72,17 @@
 		t.Fatal(err)
 	}
 	lines := &logLines{Scanner: bufio.NewScanner(log)}
-	lines.killer = time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() })
+	lines.killTimer = time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() })
 	t.Cleanup(func() {
-		lines.killer.Stop()
-		_ = cmd.Process.Kill() // it may have ended
+		lines.killTimer.Stop()
+		_ = cmd.Process.Kill() // fails if it has already exited
 		_ = cmd.Wait()
 	})
 	return lines
 }
 
-// skipTo reads up to a line that matches, and returns its match and groups, or nil if the log ends before.
+// skipTo reads lines until one matches the pattern. It returns the match and its groups, or nil if the log
+// ends first.
 func (l *logLines) skipTo(pattern string) []string {
 	expression := regexp.MustCompile(pattern)
 	for l.Scan() {
@@ -91,14 +93,15 @@
 	return nil
 }
 
-// SIGHUP ends a Go program that does not handle it. The sidecar goes on: it reads its configuration again. It serves
-// with discovery out of reach, and SIGTERM ends it with exit code 0.
+// Guards against a sidecar that is terminated by SIGHUP, as a Go program is that does not handle it. SIGHUP
+// must only make it reload its configuration, even several times and while discovery is unreachable. It must
+// keep serving until SIGTERM, and then exit with code 0.
 func TestServesUntilSIGTERM(t *testing.T) {
 	cmd := sidecarCommand(t, validConfig)
 	lines := startWithLog(t, cmd)
 	listening := lines.skipTo(`listen=(\S+)`)
 	if listening == nil {
-		t.Fatal("it ended before it listened")
+		t.Fatal("sidecar exited before it logged its listen address")
 	}
 	for range 3 {
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -108,17 +111,17 @@
 	lines.skipTo("read again")
 	res, err := http.Get("http://" + listening[1] + "/up")
 	if err != nil || res.StatusCode != http.StatusOK {
-		t.Errorf("GET /up: %v, error %v", res, err)
+		t.Errorf("GET /up = %v, error %v, want status 200", res, err)
 	} else {
 		res.Body.Close()
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	_ = cmd.Process.Signal(syscall.SIGHUP) // no harm while it ends, nor after
-	for lines.Scan() {                     // until it ends
+	_ = cmd.Process.Signal(syscall.SIGHUP) // must do no harm during the shutdown; fails if the program has exited
+	for lines.Scan() {                     // until the program exits
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("sidecar exited with %v, want exit code 0", err)
 	}
 }
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -15,16 +15,17 @@
 	"time"
 )
 
-// generous limits every wait. Tests wait for events, and only a faulty program waits for so long.
-const generous = 30 * time.Second
+// testTimeout limits every wait for an event. Only a faulty program reaches it.
+const testTimeout = 30 * time.Second
 
-// unusedAddress is an address on loopback that nobody listens on. Until the test ends only who names it can listen
-// there.
+// unusedAddress returns a loopback address on which no process listens. Until the test ends, a process can
+// listen on its port only by naming the port.
 //
-// A socket that is bound, but does not listen, reserves its port. Without that the system may choose the port again,
-// for another case that runs at the same time, before the program of this one listens: that program then waits for
-// its address until it ends, and the test talks to the listener of the other case. The system chooses no port that a
-// socket is bound to. As both sides set SO_REUSEADDR, one who names the port can still listen there.
+// The port is reserved by a socket that is bound but does not listen: the system never chooses a port to
+// which a socket is bound. Without the reservation, it could give the port to a parallel test case before the
+// program of this test listens. The program would then wait for its address until it exits, and the test
+// would talk to the listener of the other case. A program can still listen on the reserved port, because both
+// sockets set SO_REUSEADDR.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	reserved, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -45,15 +46,16 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// configValues are what tests vary in a valid configuration.
+// configValues are the fields of a valid configuration that tests vary.
 type configValues struct {
 	listen         string
 	discovery      string
-	mode           string // ask: the endpoint list is polled; push: it is pushed
-	cachedList     string
-	maxDescriptors int
+	mode           string // "ask": the sidecar polls the endpoint list; "push": discovery pushes it
+	cachedList     string // the cached endpoint list, as JSON
+	maxDescriptors int    // limit on the file descriptors of the process
 }
 
+// text returns the configuration as JSON.
 func (v configValues) text() string {
 	return fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"1f","limits":{"memory_mb":64,"sockets":%d},"known":%s,
 	"settings":{"balancers":1,"discovery":%q,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
@@ -62,7 +64,7 @@
 		v.listen, v.discovery, v.maxDescriptors, v.cachedList, v.mode)
 }
 
-// startUntilTestEnds starts a program, which is killed at the end of the test.
+// startUntilTestEnds starts a program and kills it at the end of the test. The log is discarded.
 func startUntilTestEnds(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	cmd.Stderr = io.Discard
@@ -70,19 +72,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Process.Kill() // fails if it has already exited
 		_ = cmd.Wait()
 	})
 }
 
-// getUntilOK sends requests, each on a connection of its own, until one is answered with 200. headers are names and
-// values; with any the request is one to a server and gets an id.
+// getUntilOK sends requests, each on a new connection, until one is answered with 200. headers alternates
+// names and values. A request with headers is one for a server and also gets an X-Request-ID.
 func getUntilOK(t *testing.T, url string, headers ...string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	ctx, cancel := context.WithTimeout(t.Context(), generous)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	last := ""
+	lastResult := ""
 	for n := 0; ctx.Err() == nil; n++ {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
@@ -95,19 +97,20 @@
 			req.Header.Set("X-Request-ID", fmt.Sprintf("r%d", n))
 		}
 		res, err := client.Do(req)
-		if err != nil { // it does not listen yet, or has closed the connection at its limit
-			last = err.Error()
+		if err != nil { // the sidecar does not listen yet, or has closed the connection at its connection limit
+			lastResult = err.Error()
 			continue
 		}
 		res.Body.Close()
-		if last = res.Status; res.StatusCode == http.StatusOK {
+		if lastResult = res.Status; res.StatusCode == http.StatusOK {
 			return
 		}
 	}
-	t.Fatalf("GET %s was not answered with 200, the last time: %s", url, last)
+	t.Fatalf("GET %s: no response with status 200 within the time limit, last result: %s", url, lastResult)
 }
 
-// serveConns has serve take each connection to an address.
+// serveConns listens on an address until the test ends and calls serve for each connection, on a goroutine of
+// its own. It returns the address with the port that was chosen for port 0.
 func serveConns(t *testing.T, address string, serve func(net.Conn)) (listening string) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -130,7 +133,8 @@
 	return l.Addr().String()
 }
 
-// faultyDiscoveries are what a restarted sidecar may find at discovery's address. nil: nobody listens there.
+// faultyDiscoveries are the faults of discovery that a restarted sidecar may encounter: the function that
+// serves each connection, or nil if no process listens on the address.
 var faultyDiscoveries = map[string]func(net.Conn){
 	"down":       nil,
 	"silent":     func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
@@ -145,9 +149,10 @@
 	}
 }
 
-// A sidecar crashes while discovery is down. If it waited for discovery after its restart, its application would not
-// be served for as long. It must be ready whatever becomes of its calls to discovery, and however old its cached list
-// is: none of these discoveries ever responds with a list, so it can't be waiting for one.
+// Guards against a sidecar that waits for discovery when it restarts after a crash: during an outage of
+// discovery its application would not be served. The sidecar must become ready whatever the result of its
+// calls to discovery, and however old its cached list. None of the discoveries here ever responds with an
+// endpoint list, so a sidecar that waits for one fails the test.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, serve := range faultyDiscoveries {
 		for _, cachedList := range []string{
@@ -162,7 +167,7 @@
 						discovery = serveConns(t, "127.0.0.1:0", serve)
 					}
 					values := configValues{listen: unusedAddress(t), discovery: discovery, mode: mode, cachedList: cachedList, maxDescriptors: 64}
-					for range 2 { // the first is killed and starts again, as after a crash
+					for range 2 { // the second run is the restart after a crash
 						cmd := sidecarCommand(t, values.text())
 						startUntilTestEnds(t, cmd)
 						getUntilOK(t, "http://"+values.listen+"/up")
@@ -177,8 +182,8 @@
 	}
 }
 
-// A sidecar is restarted while the process before it still holds the address, as it is exiting. It must wait for the
-// address instead of ending.
+// Guards against a sidecar that exits if its address is still in use, as it is when the sidecar is restarted
+// while the previous process is exiting. It must wait for the address.
 func TestReadyOnceItsAddressIsFree(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,23 +193,24 @@
 	values := configValues{listen: address, discovery: unusedAddress(t), mode: "push", cachedList: "{}", maxDescriptors: 64}
 	lines := startWithLog(t, sidecarCommand(t, values.text()))
 	if lines.skipTo("listen address is in use") == nil {
-		t.Fatal("it ended")
+		t.Fatal("sidecar exited without logging that its address is in use")
 	}
 	l.Close()
 	getUntilOK(t, "http://"+address+"/up")
 }
 
-// respondHello answers one request.
-func respondHello(c net.Conn) {
+// respondOK responds 200 to one request.
+func respondOK(c net.Conn) {
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
 	}
 }
 
-// serveList serves a discovery whose list has one server. It returns a channel with an item for each read of the list.
-func serveList(t *testing.T, address, server string) (read chan struct{}) {
+// serveList runs a discovery whose endpoint list has one server. The channel it returns receives a value for
+// each response with the list.
+func serveList(t *testing.T, address, server string) (listRead chan struct{}) {
 	t.Helper()
-	read = make(chan struct{}, 100)
+	listRead = make(chan struct{}, 100)
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[{"instanceId":"s","hostPort":%q,"lifecycle":"ready"}]}`, server)
 	serveConns(t, address, func(c net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(c))
@@ -212,25 +218,26 @@
 			return
 		}
 		if strings.Contains(req.URL.RawQuery, "wait=") && req.FormValue("wait") != "1" {
-			_, _ = io.Copy(io.Discard, c) // a watch: there is no change
+			_, _ = io.Copy(io.Discard, c) // a watch: the list never changes
 			return
 		}
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-		read <- struct{}{}
+		listRead <- struct{}{}
 	})
-	return read
+	return listRead
 }
 
-// withDescriptorLimit is a command under an operating system limit on its descriptors.
+// withDescriptorLimit returns the command with an operating system limit on its file descriptors.
 func withDescriptorLimit(cmd *exec.Cmd, limit int) *exec.Cmd {
 	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, limit), os.Args[0])
 	limited.Env = cmd.Env
 	return limited
 }
 
-// Clients open more connections than the sidecar has descriptors and send nothing on them, while discovery is down.
-// A sidecar that let them hold the descriptors could not call discovery on its return, nor reach a server. The list
-// must be read, the server that only this list names be reached, and a new client be answered.
+// Guards against clients that use up all file descriptors: while discovery is down, they open more
+// connections than the sidecar has descriptors and leave them idle. Without free descriptors the sidecar
+// could neither call discovery once it is up again nor connect to a server. It must read the endpoint list,
+// reach the server that only this list names, and answer a new client.
 func TestIdleClientsDoNotStarveOthers(t *testing.T) {
 	const maxDescriptors = 64
 	for name, firstBytes := range map[string]string{
@@ -241,7 +248,7 @@
 		for _, mode := range []string{"ask", "push"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
-				server := serveConns(t, "127.0.0.1:0", respondHello)
+				server := serveConns(t, "127.0.0.1:0", respondOK)
 				values := configValues{listen: unusedAddress(t), discovery: unusedAddress(t), mode: mode, cachedList: "{}", maxDescriptors: maxDescriptors}
 				startUntilTestEnds(t, withDescriptorLimit(sidecarCommand(t, values.text()), maxDescriptors))
 				getUntilOK(t, "http://"+values.listen+"/up")
@@ -255,11 +262,11 @@
 						t.Fatal(err)
 					}
 				}
-				read := serveList(t, values.discovery, server)
+				listRead := serveList(t, values.discovery, server)
 				select {
-				case <-read:
-				case <-time.After(generous):
-					t.Fatal("the list was not read")
+				case <-listRead:
+				case <-time.After(testTimeout):
+					t.Fatal("the endpoint list was not read within the time limit")
 				}
 				getUntilOK(t, "http://"+values.listen+"/a", "X-Priority-Class", "a", "X-Timeout", "9000m")
 			})
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -15,7 +15,7 @@
 // readBufferSize is the size of the input buffer, in bytes.
 const readBufferSize = 1 << 16
 
-// adapter holds the instances of this process and what they have in common: the numbered endpoint lists
+// adapter holds the instances of this process and the state that they share: the endpoint lists by number,
 // and the reply to the current batch.
 type adapter struct {
 	reply         simprotocol.Reply
@@ -30,7 +30,8 @@
 	}
 }
 
-// serve answers batches until the input ends. A batch that cannot be read or handled ends it with an error.
+// serve handles batches and writes a reply to each until the input ends. It returns an error at the first
+// batch that cannot be read, handled or answered.
 func serve(input io.Reader, output io.Writer) error {
 	a := newAdapter()
 	reader := simprotocol.NewReader(bufio.NewReaderSize(input, readBufferSize))
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// handleRecord handles one event: an endpoint list, the start or stop of an instance, or an event of a running
-// instance. Unknown events, of later protocol versions, are ignored.
+// handleRecord handles one event: an endpoint list, the start or stop of an instance, or an event of a
+// running instance. Events of later protocol versions are unknown and ignored.
 func (a *adapter) handleRecord(now time.Duration, record simprotocol.Record) error {
 	switch record.Code {
 	case simprotocol.EventEndpointList:
@@ -92,22 +93,22 @@
 	}
 	i := a.instances[number]
 	if i == nil || !i.running() {
-		return nil // no action may be returned for it
+		return nil // the reply must not contain actions of a stopped instance
 	}
 	return i.handleEvent(now, record, handle)
 }
 
-// storeEndpoints stores a numbered endpoint list. Later events refer to the list that has the number then.
+// storeEndpoints stores an endpoint list under its number, in place of any list that had the number before.
 func (a *adapter) storeEndpoints(record simprotocol.Record) error {
-	list, endpoints, err := record.EndpointList()
+	number, endpoints, err := record.EndpointList()
 	if err != nil {
 		return err
 	}
-	a.endpointLists[list] = endpoints
+	a.endpointLists[number] = endpoints
 	return nil
 }
 
-// startInstance starts an instance, also in place of one that has its number.
+// startInstance starts an instance. It replaces any instance that has the same number.
 func (a *adapter) startInstance(now time.Duration, record simprotocol.Record) error {
 	number, err := record.Instance()
 	if err != nil {
@@ -117,15 +118,15 @@
 	if err != nil {
 		return err
 	}
-	s, err := settings.Parse(event.Settings)
+	parsed, err := settings.Parse(event.Settings)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	config, err := s.PolicyConfig()
+	config, err := parsed.PolicyConfig()
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{adapter: a, number: number, reportFormat: s.ReportFormat()}
+	i := &instance{adapter: a, number: number, reportFormat: parsed.ReportFormat()}
 	a.instances[number] = i
 	return i.start(now, config, event.Seed)
 }
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -18,12 +18,12 @@
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out); err != nil || out.Len() != 24 {
-		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
+		t.Fatalf("output = %d bytes, error %v, want the 24 bytes of two empty replies", out.Len(), err)
 	}
 }
 
-// Settings, endpoint lists and request keys reach the Balancer: idle connections to a draining endpoint are
-// closed, and requests of one key are sent in order.
+// Guards against settings, endpoint states and request keys that do not reach the Balancer. If they do, it
+// closes the idle connections to a draining endpoint and sends requests with the same key one at a time.
 func TestSettingsAndKeysReachTheBalancer(t *testing.T) {
 	text := exampleSettings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
 	draining := endpointList(4, 77)
@@ -34,14 +34,14 @@
 			keyed(100), keyed(101)),
 		batch(2, 5, draining, endpointsUpdated(1, simprotocol.UpdateDelta, 4))))
 	if sends := actionsOf(all, simprotocol.ActionSend, 1); len(sends) != 1 {
-		t.Errorf("%d sends for two requests of one key, want 1", len(sends))
+		t.Errorf("sends for two requests with the same key = %d, want 1", len(sends))
 	}
 	if closed := actionsOf(all, simprotocol.ActionCloseIdle, 1); len(closed) != 1 || closed[0].fields[addressHostOffset] != 77 {
-		t.Errorf("closed %v, want .77", closed)
+		t.Errorf("closed = %v, want one endpoint with the address 10.0.0.77", closed)
 	}
 }
 
-// A value that cannot be used ends the adapter with one line that names its field.
+// The adapter returns an error in one line that names the field if a value in the settings is invalid.
 func TestUnusableSettingsAreNamed(t *testing.T) {
 	for _, test := range []struct{ name, setting, field string }{
 		{"negative retry ratio", "rules.further_ratio=-1\nrules.budget_span_ms=1000\n", "Budget"},
@@ -53,13 +53,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := serve(bytes.NewReader(batch(1, 0, instanceStarted(1, 5, exampleSettings+test.setting))), io.Discard)
 			if err == nil || !strings.Contains(err.Error(), test.field) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line that names %s", err, test.field)
+				t.Errorf("error = %v, want one line that names %s", err, test.field)
 			}
 		})
 	}
 }
 
-// An update refers to the endpoint list that has the number at that moment.
+// Guards against list numbers that are resolved too late: an update refers to the endpoint list that has the
+// number at that moment, even if a later event of the same batch reuses the number.
 func TestListNumberIsResolvedInEventOrder(t *testing.T) {
 	all := serveActions(t, batch(1, 0,
 		instanceStarted(1, 5, exampleSettings), endpointList(3, 77), endpointsUpdated(1, simprotocol.UpdateCached, 3), requestArrived(1, 100),
@@ -69,15 +70,17 @@
 		t.Run(fmt.Sprint("instance ", instance), func(t *testing.T) {
 			sends := actionsOf(all, simprotocol.ActionSend, instance)
 			if len(sends) != 1 || sends[0].fields[sendHostOffset] != want {
-				t.Errorf("sends %v, want one to .%d", sends, want)
+				t.Errorf("sends = %v, want one to 10.0.0.%d", sends, want)
 			}
 			if watches := actionsOf(all, simprotocol.ActionWatchEndpoints, instance); len(watches) != 1 {
-				t.Errorf("%d subscriptions to the endpoint list, want 1", len(watches))
+				t.Errorf("subscriptions to the endpoint list = %d, want 1", len(watches))
 			}
 		})
 	}
 }
 
+// An instance that is restarted within one batch handles the events after the restart. Events that arrive
+// while it is stopped are ignored.
 func TestRestartInOneBatch(t *testing.T) {
 	all := serveActions(t, slices.Concat(
 		batch(1, 0, instanceStarted(1, 5, exampleSettings), endpointList(0, 7), endpointsUpdated(1, simprotocol.UpdateCached, 0), requestArrived(1, 100)),
@@ -86,11 +89,12 @@
 		batch(3, 10, attemptEnded(1, 100, 0, 7, simprotocol.ResultSucceeded, 1)),
 		batch(4, 15, instanceStopped(1), requestArrived(1, 103))))
 	if sends := actionsOf(all, simprotocol.ActionSend, 1); len(sends) != 2 {
-		t.Fatalf("%d sends, want one before and one after the restart, none while it was stopped", len(sends))
+		t.Fatalf("sends = %d, want 2: one before and one after the restart, and none while stopped", len(sends))
 	}
 }
 
-// Instances do not influence each other: two in one process act as each does in a process of its own.
+// Guards against state that instances share by mistake: two instances in one process must act exactly as each
+// of them does in a separate process.
 func TestInstancesAreIndependent(t *testing.T) {
 	input := func(instances ...uint32) []byte {
 		var stream []byte
@@ -113,14 +117,15 @@
 	together := serveActions(t, input(1, 2))
 	for _, i := range []uint32{1, 2} {
 		alone := serveActions(t, input(i))
-		own := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != i })
-		if !slices.Equal(alone, own) || len(own) < 60 {
-			t.Fatalf("instance %d: %d actions together, %d alone, or they differ", i, len(own), len(alone))
+		ofInstance := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.instance != i })
+		if !slices.Equal(alone, ofInstance) || len(ofInstance) < 60 {
+			t.Fatalf("instance %d: %d actions together, %d alone, want the same actions and at least 60", i, len(ofInstance), len(alone))
 		}
 	}
 }
 
-// Instances broadcast gossip messages, and those of others reach the Balancer. A malformed one is dropped.
+// Instances broadcast gossip messages, and messages of other instances reach the Balancer. Malformed messages
+// are dropped before they reach it.
 func TestGossipBetweenInstances(t *testing.T) {
 	started := func(instance uint32) []byte {
 		return instanceStarted(instance, 5, fmt.Sprintf("%s\ncaps.peers=true\nme=%d", exampleSettings, instance))
@@ -131,18 +136,18 @@
 		input = append(input, batch(number, float64(100*number), timerFired(0))...)
 	}
 	if broadcasts := actionsOf(serveActions(t, input), simprotocol.ActionBroadcast, 0); len(broadcasts) == 0 {
-		t.Fatal("no broadcast")
+		t.Fatal("broadcasts of instance 0 = 0, want at least one")
 	}
 	message := gossip.Encode(policy.GossipMessage{SentAt: 6 * time.Second, RequestRate: 5})
 	input = append(input, batch(number, 6000,
 		gossipReceived(1, 0, message), gossipReceived(1, 0, message), gossipReceived(1, 0, []byte("malformed")))...)
 	a := handleAll(t, input)
 	if c := a.instances[1].balancer.Counters(); c.GossipReceived != 1 || c.GossipDropped != 1 {
-		t.Fatalf("received %d and dropped %d, want one of each: the second is a duplicate", c.GossipReceived, c.GossipDropped)
+		t.Fatalf("gossip messages received = %d, dropped = %d, want 1 of each: the second message is a duplicate", c.GossipReceived, c.GossipDropped)
 	}
 }
 
-// handleAll handles all batches and returns the adapter.
+// handleAll handles all batches of a stream and returns the adapter.
 func handleAll(t *testing.T, input []byte) *adapter {
 	t.Helper()
 	a := newAdapter()
@@ -162,6 +167,7 @@
 	}
 }
 
+// Unknown event codes, update kinds and instance numbers do not affect the instances that run.
 func TestUnknownRecordsAreIgnored(t *testing.T) {
 	const unknownEvent, unknownKind, unknownInstance = 4711, 99, 44
 	all := serveActions(t, batch(1, 0,
@@ -170,18 +176,18 @@
 		requestArrived(1, 100), requestArrived(unknownInstance, 100)))
 	if len(actionsOf(all, simprotocol.ActionSend, 1)) != 1 ||
 		slices.ContainsFunc(all, func(a action) bool { return a.instance == unknownInstance }) {
-		t.Fatalf("actions %v", all)
+		t.Fatalf("actions = %v, want one send of instance 1 and no action of the unknown instance", all)
 	}
 }
 
 func TestMalformedInputEndsWithAnError(t *testing.T) {
 	started := instanceStarted(1, 5, exampleSettings)
 	trailing := append(batch(1, 0), 1, 2, 3)
-	trailing[8] = 3 // the size
+	trailing[8] = 3 // the size of the body in the frame header
 	for _, test := range []struct {
 		name  string
 		input []byte
-		err   error // nil: any
+		err   error // nil: any error
 	}{
 		{"truncated batch", batch(1, 0, started)[:30], io.ErrUnexpectedEOF},
 		{"list never sent", batch(1, 0, started, endpointsUpdated(1, simprotocol.UpdateFull, 9)), nil},
@@ -194,10 +200,10 @@
 			err := serve(bytes.NewReader(test.input), io.Discard)
 			var batchError *simprotocol.BatchError
 			if !errors.As(err, &batchError) || batchError.Number != 1 || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("error %v, want one plain line about batch 1", err)
+				t.Fatalf("error = %v, want a BatchError for batch 1 in one line", err)
 			}
 			if test.err != nil && !errors.Is(err, test.err) {
-				t.Errorf("error %v, want %v", err, test.err)
+				t.Errorf("error = %v, want %v", err, test.err)
 			}
 		})
 	}
@@ -212,20 +218,20 @@
 	}
 	all := splitActions(t, a.reply.Bytes()[replyHeaderLen:])
 	if faults := actionsOf(all, simprotocol.ActionFault, 4); len(faults) != 1 || !strings.Contains(faults[0].fields, "index out of range") {
-		t.Errorf("actions %v, want one fault", all)
+		t.Errorf("actions = %v, want one fault with the text of the panic", all)
 	}
 	if i.running() {
-		t.Error("the instance still runs")
+		t.Error("instance is still running after a panic")
 	}
 }
 
-// The counters are logged once per interval, and not with the first event.
+// The counters are logged once per interval, and not at the first event.
 func TestCountersAreLogged(t *testing.T) {
 	all := serveActions(t, slices.Concat(
 		batch(1, 0, instanceStarted(1, 5, exampleSettings)),
 		batch(2, 5, timerFired(1)), batch(3, 9000, timerFired(1)), batch(4, 10005, timerFired(1)), batch(5, 10010, timerFired(1))))
 	logs := slices.DeleteFunc(actionsOf(all, simprotocol.ActionLog, 1), func(a action) bool { return !strings.Contains(a.fields, "counters {") })
 	if len(logs) != 1 {
-		t.Errorf("logs %v, want the counters once", logs)
+		t.Errorf("log lines with counters = %v, want one", logs)
 	}
 }
--- a/cmd/simadapter/helpers_test.go
+++ b/cmd/simadapter/helpers_test.go
@@ -10,7 +10,7 @@
 	"cranehatch/internal/simprotocol"
 )
 
-// exampleSettings are the settings of an instance; tests append to them.
+// exampleSettings are valid settings of an instance. Tests append lines to them.
 const exampleSettings = `balancers=2
 caps.may_cancel=true
 caps.most_tries=3
@@ -23,13 +23,13 @@
 period_ms=5
 `
 
-// Layout of replies and endpoint lists, in bytes.
+// Sizes and offsets in replies and event records, in bytes.
 const (
 	replyHeaderLen      = 12
 	instanceLen         = 4
 	addressHostOffset   = 3                        // of the last byte of an IPv4 address
-	firstEndpointOffset = 6 + 2 + 4                // in an event record: header, list number, count
-	firstStateOffset    = firstEndpointOffset + 10 // address, zone, machine type, cell
+	firstEndpointOffset = 6 + 2 + 4                // after the record header, list number and endpoint count
+	firstStateOffset    = firstEndpointOffset + 10 // after the address, zone, machine type and cell
 )
 
 // eventRecord builds one event record from its fields.
@@ -56,10 +56,10 @@
 	return eventRecord(simprotocol.EventInstanceStopped, instance)
 }
 
-// address returns 10.0.0.host:80 as on the wire.
+// address returns the encoding of 10.0.0.host:80.
 func address(host byte) []byte { return []byte{10, 0, 0, host, 80, 0} }
 
-// endpointList builds a list of ready endpoints, by the last byte of their addresses.
+// endpointList builds the event of a list of ready endpoints, given the last bytes of their addresses.
 func endpointList(list uint16, hosts ...byte) []byte {
 	fields := []any{list, uint32(len(hosts))}
 	for _, host := range hosts {
@@ -73,7 +73,7 @@
 	return eventRecord(simprotocol.EventEndpointsUpdated, instance, kind, uint32(1), list)
 }
 
-// request is a client request with the fields that tests set.
+// request holds the fields of a client request that tests set.
 type request struct {
 	id        uint32
 	key       uint64
@@ -82,16 +82,17 @@
 	class     uint8
 }
 
+// arrived builds the event of the request's arrival at an instance.
 func (r request) arrived(instance uint32) []byte {
 	return eventRecord(simprotocol.EventRequestArrived, instance, r.id, uint16(0), r.key, r.tenant, r.timeoutMS, float64(0), r.class)
 }
 
-// requestArrived builds the event of a request without a key.
+// requestArrived builds the event of the arrival of a request without a key.
 func requestArrived(instance, id uint32) []byte {
 	return request{id: id, timeoutMS: 800}.arrived(instance)
 }
 
-// attemptEnded builds the event of an attempt that took 5 ms.
+// attemptEnded builds the event of the end of an attempt that took 5 ms.
 func attemptEnded(instance, id uint32, attempt uint8, host byte, result uint16, answered uint8) []byte {
 	return eventRecord(simprotocol.EventAttemptEnded, instance, id, attempt, address(host), result, float64(5), answered, uint8(0))
 }
@@ -104,7 +105,7 @@
 	return eventRecord(simprotocol.EventGossipReceived, instance, from, uint16(len(data)), data)
 }
 
-// batch builds a frame of events at a time in milliseconds.
+// batch builds a batch of events, all at the time nowMS in milliseconds.
 func batch(number uint32, nowMS float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
 	frame := binary.LittleEndian.AppendUint32(nil, number)
@@ -118,10 +119,10 @@
 type action struct {
 	code     simprotocol.ActionCode
 	instance uint32
-	fields   string // after the instance
+	fields   string // the encoded fields after the instance number
 }
 
-// serveActions serves a stream and returns the actions of all replies.
+// serveActions passes a stream of batches to serve and returns the actions of all replies.
 func serveActions(t *testing.T, input []byte) []action {
 	t.Helper()
 	var output bytes.Buffer
@@ -137,7 +138,7 @@
 	return all
 }
 
-// splitActions decodes the actions of one reply, whose records have the layout of events.
+// splitActions decodes the actions of one reply, whose records have the same layout as those of events.
 func splitActions(t *testing.T, body []byte) []action {
 	t.Helper()
 	var all []action
@@ -156,7 +157,7 @@
 	return all
 }
 
-// actionsOf returns the actions of one code and instance.
+// actionsOf returns the actions that have a code and are of an instance.
 func actionsOf(all []action, code simprotocol.ActionCode, instance uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool { return a.code != code || a.instance != instance })
 }
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -7,14 +7,14 @@
 	"cranehatch/policy"
 )
 
-// The methods of policy.Host.
+// The methods in this file implement policy.Host.
 
 func (i *instance) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
-	i.adapter.reply.Send(i.number, id, to, timeout) // the simulator begins an attempt at once
+	i.adapter.reply.Send(i.number, id, to, timeout) // no write timeout: the simulator sends at once
 }
 
-func (i *instance) Reject(id policy.RequestID, pause time.Duration) {
-	i.adapter.reply.Reject(i.number, id, pause)
+func (i *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
+	i.adapter.reply.Reject(i.number, id, retryAfter)
 }
 
 func (i *instance) Fail(id policy.RequestID) { i.adapter.reply.Fail(i.number, id) }
@@ -24,7 +24,7 @@
 }
 
 func (i *instance) SetTimer(after time.Duration) {
-	const cookie = 0 // not used: an instance has one kind of timer
+	const cookie = 0 // unused, as an instance has only one kind of timer
 	i.adapter.reply.SetTimer(i.number, after, cookie)
 }
 
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -10,16 +10,17 @@
 	"cranehatch/policy"
 )
 
-// countersInterval is how often the counters of an instance are logged.
+// countersInterval is the interval at which the counters of an instance are logged.
 const countersInterval = 10 * time.Second
 
-// instance is one sidecar. It is the policy.Host of its Balancer, and writes the decisions to the reply.
+// instance is one simulated sidecar. It is the policy.Host of its Balancer: it writes the Balancer's
+// decisions to the adapter's reply.
 type instance struct {
-	adapter      *adapter
-	number       uint32
-	reportFormat loadreport.Format
-	balancer     *policy.Balancer // nil before the start and after a panic
-	countersAt   time.Duration    // when the counters are logged next
+	adapter         *adapter
+	number          uint32
+	reportFormat    loadreport.Format
+	balancer        *policy.Balancer // nil before the start and after a panic
+	nextCountersLog time.Duration    // when the counters are logged next; 0 before the first event
 }
 
 // start creates and starts the Balancer.
@@ -35,15 +36,18 @@
 	})
 }
 
+// running reports whether the instance handles events.
 func (i *instance) running() bool { return i.balancer != nil }
 
-// handleEvent handles one event of a running instance.
+// handleEvent handles one event of a running instance. If the logging of the counters is due, they are logged
+// first.
 func (i *instance) handleEvent(now time.Duration, record simprotocol.Record, handle eventHandler) error {
 	i.logCounters(now)
 	return i.recoverFault(func() error { return handle(i, now, record) })
 }
 
-// recoverFault calls f and reports a panic as a fault of the instance, which stops.
+// recoverFault calls f. If f panics, recoverFault reports the panic to the simulator as a fault of the
+// instance and stops the instance.
 func (i *instance) recoverFault(f func() error) error {
 	defer func() {
 		if p := recover(); p != nil {
@@ -54,21 +58,22 @@
 	return f()
 }
 
-// logCounters logs the counters once per interval, from the second interval on.
+// logCounters logs the counters once per countersInterval, for the first time one interval after the first
+// event.
 func (i *instance) logCounters(now time.Duration) {
-	if now < i.countersAt {
+	if now < i.nextCountersLog {
 		return
 	}
-	if i.countersAt > 0 {
+	if i.nextCountersLog > 0 {
 		i.adapter.reply.Log(i.number, fmt.Sprintf("counters %+v", i.balancer.Counters()))
 	}
-	i.countersAt = now + countersInterval
+	i.nextCountersLog = now + countersInterval
 }
 
-// eventHandler decodes one event and passes it to the instance's Balancer.
+// eventHandler decodes an event and passes it to the instance's Balancer.
 type eventHandler func(i *instance, now time.Duration, record simprotocol.Record) error
 
-// instanceHandlers are the handlers of the events of a running instance.
+// instanceHandlers maps the events of a running instance to their handlers.
 var instanceHandlers = map[simprotocol.EventCode]eventHandler{
 	simprotocol.EventRequestArrived:     (*instance).requestArrived,
 	simprotocol.EventAttemptEnded:       (*instance).attemptEnded,
@@ -135,7 +140,7 @@
 	return nil
 }
 
-// gossipReceived drops messages that are malformed.
+// gossipReceived passes a gossip message to the Balancer. Malformed messages are dropped.
 func (i *instance) gossipReceived(now time.Duration, record simprotocol.Record) error {
 	event, err := record.GossipReceived()
 	if err != nil {
@@ -147,6 +152,8 @@
 	return nil
 }
 
+// endpointsUpdated passes an endpoint update to the Balancer. Updates of an unknown kind are ignored. The
+// endpoint list is the one that has the event's list number at this moment.
 func (i *instance) endpointsUpdated(now time.Duration, record simprotocol.Record) error {
 	event, err := record.EndpointsUpdated()
 	if err != nil || !event.Known {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Simadapter connects package policy to the simulator's protocol: it hosts many instances, each a
-// policy.Balancer of its own, on standard input and output. It makes no decisions itself.
+// Simadapter runs package policy in the simulator: it speaks the simulator's protocol on standard input and
+// output and hosts many instances, each with its own policy.Balancer. It makes no decisions itself.
 package main
 
 import (
@@ -9,11 +9,12 @@
 	"runtime/debug"
 )
 
-// gcPercent makes garbage collections rare: the heap is small, and batches take even times without them.
+// gcPercent makes garbage collections rare: the live heap is small, and collections would make the processing
+// times of batches uneven.
 const gcPercent = 800
 
 func main() {
-	runtime.GOMAXPROCS(1) // one batch is answered at a time, so more threads only add cost
+	runtime.GOMAXPROCS(1) // batches are handled one at a time, so more threads would only add overhead
 	debug.SetGCPercent(gcPercent)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
