--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 	}
-	lines.skipTo("read again")
+	lines.skipTo("reloaded configuration")
 	res, err := http.Get("http://" + listening[1] + "/up")
 	if err != nil || res.StatusCode != http.StatusOK {
 		t.Errorf("GET /up = %v, error %v, want status 200", res, err)
--- a/internal/sidecar/discovery_reload.go
+++ b/internal/sidecar/discovery_reload.go
@@ -16,7 +16,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slog.Info("configuration read again", "discovery", cfg.Discovery, "before", d.address)
+	slog.Info("reloaded configuration", "discovery", cfg.Discovery, "before", d.address)
 	if cfg.Discovery == d.address {
 		return
 	}
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -50,7 +50,7 @@
 // or nil.
 //
 // While the connection for an attempt to a draining server is still being opened, the request could be
-// written long after the update, when nothing new may be sent to that server. stopUnwritten ends such an
+// written long after the update, when nothing new may be sent to that server. abandonUnwritten ends such an
 // attempt as NotSent, so that the Balancer can choose another server.
 func (l *eventLoop) applyEndpoint(entry policy.Endpoint, address string, previous *endpoint) {
 	switch {
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -118,9 +118,9 @@
 // Broadcast sends a gossip message to the other sidecars. It may be lost.
 func (l *eventLoop) Broadcast(message policy.GossipMessage) { l.peers.send(gossip.Encode(message)) }
 
-// gossipReceived passes a message of another sidecar to the Balancer. It is called on the goroutine of
+// handleGossip passes a message of another sidecar to the Balancer. It is called on the goroutine of
 // gossipTransport.run and blocks as post does.
-func (l *eventLoop) gossipReceived(from int, message policy.GossipMessage) {
+func (l *eventLoop) handleGossip(from int, message policy.GossipMessage) {
 	l.post(func(now time.Duration) { l.balancer.ReceiveGossip(now, from, message) })
 }
 
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -56,9 +56,9 @@
 }
 
 // server returns the HTTP server for the application. The caller starts it and shuts it down.
-func (f *ingress) server(a *acceptor) *http.Server {
+func (in *ingress) server(a *acceptor) *http.Server {
 	return &http.Server{
-		Handler:           f,
+		Handler:           in,
 		ReadHeaderTimeout: readHeadTimeout,
 		IdleTimeout:       clientIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -68,36 +68,36 @@
 }
 
 // ServeHTTP handles a request of the application or a readiness check.
-func (f *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (in *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// The client's timeout starts when the client sends the request. The arrival time is therefore taken before
 	// the body is read. For a pipelined request it is the time at which its bytes were read from the socket, before
 	// it waited for the response to the previous request.
-	arrived := f.clock.now()
+	arrived := in.clock.now()
 	if c := clientConnFromContext(r.Context()); c != nil {
 		c.expectBody(r.ContentLength)
-		arrived = min(arrived, f.clock.fromTime(c.requestArrivalTime()))
+		arrived = min(arrived, in.clock.fromTime(c.requestArrivalTime()))
 	}
 	if isReadinessCheck(r) {
-		f.writeReadiness(w, r)
+		in.writeReadiness(w, r)
 		return
 	}
-	parsed, rejection := f.parseRequest(r)
+	parsed, rejection := in.parseRequest(r)
 	if rejection != nil {
-		f.reject(w, r, rejection)
+		in.reject(w, r, rejection)
 		return
 	}
 	id := r.Header.Get(headerRequestID)
-	if !f.reserveID(id) {
-		f.reject(w, r, reject(http.StatusConflict, "a request of this X-Request-ID is open"))
+	if !in.reserveID(id) {
+		in.reject(w, r, reject(http.StatusConflict, "a request of this X-Request-ID is open"))
 		return
 	}
-	defer f.releaseID(id)
+	defer in.releaseID(id)
 	body, rejection := readBody(w, r)
 	if rejection != nil {
-		f.reject(w, r, rejection)
+		in.reject(w, r, rejection)
 		return
 	}
-	f.forwardWithinLimits(w, r, parsed, body, arrived+parsed.timeout)
+	in.forwardWithinLimits(w, r, parsed, body, arrived+parsed.timeout)
 }
 
 func isReadinessCheck(r *http.Request) bool {
@@ -106,9 +106,9 @@
 }
 
 // writeReadiness responds 200 while the sidecar is serving, and 503 before that and while it is draining.
-func (f *ingress) writeReadiness(w http.ResponseWriter, r *http.Request) {
-	f.closeIfDraining(w, r)
-	if !f.ready.Load() {
+func (in *ingress) writeReadiness(w http.ResponseWriter, r *http.Request) {
+	in.closeIfDraining(w, r)
+	if !in.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -119,53 +119,53 @@
 // A request is counted only once it has been read in full. If it were counted from its head on, a few clients
 // that announce a body and never send it could use up the limits for all others. Until a request is counted,
 // only the limit on client connections applies to it.
-func (f *ingress) forwardWithinLimits(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
+func (in *ingress) forwardWithinLimits(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	size := int64(len(body))
-	inFlight, inFlightBodyBytes := f.inFlight.Add(1), f.inFlightBodyBytes.Add(size)
-	defer f.inFlight.Add(-1)
-	defer f.inFlightBodyBytes.Add(-size)
-	deadline = f.capDeadline(deadline)
-	if f.overLimit(inFlight, inFlightBodyBytes) || deadline <= f.clock.now() {
-		f.closeIfDraining(w, r)
-		writeUnavailable(w, f.randomRetryAfter())
+	inFlight, inFlightBodyBytes := in.inFlight.Add(1), in.inFlightBodyBytes.Add(size)
+	defer in.inFlight.Add(-1)
+	defer in.inFlightBodyBytes.Add(-size)
+	deadline = in.capDeadline(deadline)
+	if in.overLimit(inFlight, inFlightBodyBytes) || deadline <= in.clock.now() {
+		in.closeIfDraining(w, r)
+		writeUnavailable(w, in.randomRetryAfter())
 		return
 	}
-	f.forward(w, r, parsed, body, deadline)
+	in.forward(w, r, parsed, body, deadline)
 }
 
 // forward submits a request to the event loop and writes the response. If the client disconnects before there
 // is a response, it closes the connection without one.
-func (f *ingress) forward(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
-	final := f.awaitResponse(r, parsed, body, deadline)
+func (in *ingress) forward(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
+	final := in.awaitResponse(r, parsed, body, deadline)
 	if final == nil {
 		panic(http.ErrAbortHandler) // makes net/http close the connection without a response
 	}
-	f.closeIfDraining(w, r)
+	in.closeIfDraining(w, r)
 	final.write(w)
 }
 
 // awaitResponse submits a request to the event loop and returns the response, or nil if the client
 // disconnects before there is one.
-func (f *ingress) awaitResponse(r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) *response {
+func (in *ingress) awaitResponse(r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) *response {
 	client := monitorClient(r.Context())
 	defer client.stop()
 	outbound := newOutboundRequest(r, body, client.clientClosed)
 	reply := make(chan response, 1) // buffered, so that the event loop never blocks on a handler
-	number := f.loop.submit(parsed.policy, outbound, deadline, reply)
+	number := in.loop.submit(parsed.policy, outbound, deadline, reply)
 	select {
 	case final := <-reply:
 		return &final
 	case <-r.Context().Done(): // net/http has noticed that the client disconnected
 	case <-client.disconnected: // the monitor has noticed it, after bytes that net/http does not read
 	}
-	f.loop.clientDisconnected(number)
+	in.loop.clientDisconnected(number)
 	return nil
 }
 
 // capDeadline returns the deadline of a request. While the sidecar is draining it is at most drainDeadline,
 // as the process may be killed soon after that.
-func (f *ingress) capDeadline(deadline time.Duration) time.Duration {
-	if drainDeadline := time.Duration(f.drainDeadline.Load()); drainDeadline != 0 {
+func (in *ingress) capDeadline(deadline time.Duration) time.Duration {
+	if drainDeadline := time.Duration(in.drainDeadline.Load()); drainDeadline != 0 {
 		return min(deadline, drainDeadline)
 	}
 	return deadline
@@ -173,24 +173,24 @@
 
 // overLimit reports whether the requests in flight, including the current one, or their bodies exceed a
 // limit.
-func (f *ingress) overLimit(inFlight, inFlightBodyBytes int64) bool {
-	if f.cfg.MaxInFlight > 0 && inFlight > int64(f.cfg.MaxInFlight) {
+func (in *ingress) overLimit(inFlight, inFlightBodyBytes int64) bool {
+	if in.cfg.MaxInFlight > 0 && inFlight > int64(in.cfg.MaxInFlight) {
 		return true
 	}
-	return inFlightBodyBytes > f.cfg.maxBodyBytes()
+	return inFlightBodyBytes > in.cfg.maxBodyBytes()
 }
 
 // randomRetryAfter returns a random Retry-After, at most the configured maximum.
-func (f *ingress) randomRetryAfter() time.Duration {
+func (in *ingress) randomRetryAfter() time.Duration {
 	seconds := minRetryAfterSeconds + retryAfterJitterSeconds*rand.Float64()
-	return min(time.Duration(float64(time.Second)*seconds), f.cfg.Policy.MaxRetryAfter)
+	return min(time.Duration(float64(time.Second)*seconds), in.cfg.Policy.MaxRetryAfter)
 }
 
 // closeIfDraining makes net/http close the connection after the response that is about to be written, if the
 // sidecar is draining. If the client has already sent more after this request, the connection stays open
 // until the last response: closing it now would lose the part of the next request that has been read.
-func (f *ingress) closeIfDraining(w http.ResponseWriter, r *http.Request) {
-	if f.drainDeadline.Load() == 0 {
+func (in *ingress) closeIfDraining(w http.ResponseWriter, r *http.Request) {
+	if in.drainDeadline.Load() == 0 {
 		return
 	}
 	if c := clientConnFromContext(r.Context()); c != nil && c.hasNextRequest() {
@@ -201,20 +201,20 @@
 
 // reserveID records the X-Request-ID of a request in flight. It returns false if a request with this ID is
 // already in flight: servers would take the second request for a duplicate of the first and drop it.
-func (f *ingress) reserveID(id string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.inFlightIDs[id] {
+func (in *ingress) reserveID(id string) bool {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.inFlightIDs[id] {
 		return false
 	}
-	f.inFlightIDs[id] = true
+	in.inFlightIDs[id] = true
 	return true
 }
 
-func (f *ingress) releaseID(id string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.inFlightIDs, id)
+func (in *ingress) releaseID(id string) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	delete(in.inFlightIDs, id)
 }
 
 // readBody reads a body of the announced length within readBodyTimeout, so that a client that announces more
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -47,7 +47,7 @@
 // policy or a server: a server would respond 400, which would count as a failure of that server.
 //
 // The order of the checks determines the status and reason of a request that is invalid in several ways.
-func (f *ingress) parseRequest(r *http.Request) (parsed parsedRequest, rejection *rejectionError) {
+func (in *ingress) parseRequest(r *http.Request) (parsed parsedRequest, rejection *rejectionError) {
 	if rejection = checkFraming(r); rejection != nil {
 		return parsed, rejection
 	}
@@ -57,17 +57,17 @@
 	if rejection = checkConnection(r.Header); rejection != nil {
 		return parsed, rejection
 	}
-	if parsed.policy.Class, rejection = f.parseClass(r); rejection != nil {
+	if parsed.policy.Class, rejection = in.parseClass(r); rejection != nil {
 		return parsed, rejection
 	}
-	class := &f.cfg.Policy.Classes[parsed.policy.Class]
+	class := &in.cfg.Policy.Classes[parsed.policy.Class]
 	if rejection = checkMethod(r, class); rejection != nil {
 		return parsed, rejection
 	}
 	if rejection = checkIdempotency(r, class); rejection != nil {
 		return parsed, rejection
 	}
-	if parsed.policy.Tenant, rejection = f.parseTenant(r.Header); rejection != nil {
+	if parsed.policy.Tenant, rejection = in.parseTenant(r.Header); rejection != nil {
 		return parsed, rejection
 	}
 	if parsed.timeout, rejection = parseClientTimeout(r.Header, class); rejection != nil {
@@ -128,9 +128,9 @@
 
 // parseClass returns the index of the request's class, which both X-Priority-Class and the first path segment
 // must name.
-func (f *ingress) parseClass(r *http.Request) (int, *rejectionError) {
+func (in *ingress) parseClass(r *http.Request) (int, *rejectionError) {
 	name := r.Header.Get(headerPriorityClass)
-	class, ok := f.cfg.Classes[name]
+	class, ok := in.cfg.Classes[name]
 	if !ok {
 		return 0, reject(http.StatusBadRequest, "X-Priority-Class names no class")
 	}
@@ -191,11 +191,11 @@
 }
 
 // parseTenant returns the index of the request's tenant, or 0 if no tenants are configured.
-func (f *ingress) parseTenant(h http.Header) (int, *rejectionError) {
-	if len(f.cfg.Tenants) == 0 {
+func (in *ingress) parseTenant(h http.Header) (int, *rejectionError) {
+	if len(in.cfg.Tenants) == 0 {
 		return 0, nil
 	}
-	tenant, ok := f.cfg.Tenants[h.Get(headerTenantID)]
+	tenant, ok := in.cfg.Tenants[h.Get(headerTenantID)]
 	if !ok {
 		return 0, reject(http.StatusBadRequest, "X-Tenant-Id names no tenant")
 	}
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -56,9 +56,9 @@
 // written. reject reads the rest itself, once the response is flushed: closing the connection with bytes
 // unread, or while the client is still writing, resets it, and a client whose write fails may never read the
 // response. net/http does not read the rest of a request after a response with Connection: close.
-func (f *ingress) reject(w http.ResponseWriter, r *http.Request, rejection *rejectionError) {
+func (in *ingress) reject(w http.ResponseWriter, r *http.Request, rejection *rejectionError) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(f.rejectedBodyTimeout)) // fails only on a closed connection
+	_ = control.SetReadDeadline(time.Now().Add(in.rejectedBodyTimeout)) // fails only on a closed connection
 	writeError(w, rejection)
 	if control.Flush() != nil {
 		return // the client has disconnected
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -35,11 +35,11 @@
 // which the client could send it again. Therefore no connection is closed while it waits for a request. Each
 // is closed with its next response (see closeIfDraining), and new connections are accepted throughout. A
 // client that keeps an idle connection open delays the exit, which does no harm because SIGKILL comes first.
-func (f *ingress) drain(clients *acceptor, server *http.Server, maxDeadline time.Duration) error {
-	slog.Info("draining", "requests_in_flight", f.inFlight.Load())
+func (in *ingress) drain(clients *acceptor, server *http.Server, maxDeadline time.Duration) error {
+	slog.Info("draining", "requests_in_flight", in.inFlight.Load())
 	timeUntilKill := min(maxDeadline, maxKillDeadline) + killDelay
-	f.drainDeadline.Store(int64(f.clock.now() + timeUntilKill - killMargin))
-	f.ready.Store(false)
+	in.drainDeadline.Store(int64(in.clock.now() + timeUntilKill - killMargin))
+	in.ready.Store(false)
 	idleLimit := time.NewTimer(timeUntilKill + maxIdleDrainTime)
 	defer idleLimit.Stop()
 	<-time.After(minDrainTime)
@@ -47,16 +47,16 @@
 	case <-clients.drained():
 	case <-idleLimit.C:
 	}
-	return f.shutdown(server, maxDeadline)
+	return in.shutdown(server, maxDeadline)
 }
 
 // shutdown closes the listener and waits for the requests in flight, for at most maxDeadline.
-func (f *ingress) shutdown(server *http.Server, maxDeadline time.Duration) error {
+func (in *ingress) shutdown(server *http.Server, maxDeadline time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDeadline)
 	defer cancel()
 	err := server.Shutdown(ctx)
-	slog.Info("stopped", "requests_in_flight", f.inFlight.Load())
-	if errors.Is(err, context.DeadlineExceeded) && f.inFlight.Load() == 0 {
+	slog.Info("stopped", "requests_in_flight", in.inFlight.Load())
+	if errors.Is(err, context.DeadlineExceeded) && in.inFlight.Load() == 0 {
 		return nil // only connections without a request remain
 	}
 	return err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -52,7 +52,7 @@
 func (s *sidecar) start(ctx context.Context) {
 	go s.loop.run(ctx, s.cfg.CachedEndpoints)
 	go s.discovery.run(ctx)
-	go s.gossip.run(ctx, s.loop.gossipReceived)
+	go s.gossip.run(ctx, s.loop.handleGossip)
 }
 
 // serve runs a sidecar on a listener until ctx is cancelled and the sidecar has drained, or until the HTTP
--- a/policy/host.go
+++ b/policy/host.go
@@ -64,7 +64,7 @@
 
 // The kinds of health events.
 const (
-	EndpointDegraded  HealthEventKind = iota // slow or failing; selected less often
+	EndpointDegraded  HealthEventKind = iota // slow or failing; picked less often
 	EndpointRecovered                        // responded after a long silence
 )
 
