--- a/internal/sidecarbench/bench.go
+++ b/internal/sidecarbench/bench.go
@@ -1,29 +1,38 @@
-// Package sidecarbench measures the cost of the real sidecar program over loopback: the latency and processor time that
-// it adds to a request, and its memory, processor time and traffic without requests, by the size of the fleet that it
-// knows.
+// Package sidecarbench measures over loopback what the sidecar program costs: the latency and CPU time that
+// it adds to a request, and the memory, CPU time and traffic that it uses without requests, each for fleets
+// of different sizes.
 //
-// The program runs as it is deployed. Around it run stand-ins, each a process of its own so that its processor time is
-// separate: servers that respond at once, discovery, the other sidecars, and a load generator for the application. A
-// program that uses this package runs as a stand-in itself when RoleVariable is set: see RunStandIn. All addresses are
-// in 127.0.0.0/8.
+// The sidecar runs as it is deployed, between stand-ins for servers that respond at once, discovery, the
+// other sidecars and the application (a load generator). Each stand-in is a process of its own, so that its
+// CPU time is accounted separately. A program that uses this package serves as the stand-in program too: if
+// RoleVariable is set, it has to call RunStandIn. All addresses are in 127.0.0.0/8.
 //
-// Measurements that are compared alternate in short blocks (direct and proxied, silent and with gossip), so that other
-// load on the machine affects both alike. A figure is the mean of the differences within such pairs, with its standard
-// deviation.
+// Measurements to be compared (direct and proxied, silent and with gossip) alternate in short blocks, so that
+// other load on the machine affects both alike. The reported value is the mean of the differences within such
+// pairs, with its standard deviation.
 package sidecarbench
 
 import "time"
 
 const (
-	serverAddressCount = 16  // addresses that all listed servers share
-	maxSenders         = 500 // peers with a socket; others are in the configuration only
-	maxInFlight        = 64  // requests of a load
+	// serverAddressCount is the number of addresses that all listed servers share.
+	serverAddressCount = 16
+
+	// maxSenders is the maximum number of peers with a socket. Other peers are in the configuration only.
+	maxSenders = 500
+
+	// maxInFlight is the maximum number of concurrent requests of a load.
+	maxInFlight = 64
 )
 
-// Bench is what all measurements need. All fields have to be set.
+// Bench is the setup that all measurements share. All fields are required.
 type Bench struct {
-	Program          string        // path of the sidecar program
-	StandIn          string        // path of a program that calls RunStandIn if RoleVariable is set
-	Dir              string        // directory for configuration files; the caller removes it
-	LatencyObjective time.Duration // of all requests, and the interval at which peers send gossip
+	// Program is the path of the sidecar program.
+	Program string
+	// StandIn is the path of a program that calls RunStandIn if RoleVariable is set.
+	StandIn string
+	// Dir is the directory for configuration files. The caller removes it.
+	Dir string
+	// LatencyObjective applies to all requests. It is also the interval at which each peer sends gossip.
+	LatencyObjective time.Duration
 }
--- a/internal/sidecarbench/bench_test.go
+++ b/internal/sidecarbench/bench_test.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "TestOverhead makes the full measurement and prints tables")
-	pairs   = flag.Int("pairs", 8, "pairs of blocks in the full measurement of requests")
+	measure = flag.Bool("measure", false, "TestOverhead makes the full measurement and prints its tables")
+	pairs   = flag.Int("pairs", 8, "number of pairs of blocks per request rate and fleet size in the full measurement")
 )
 
-// generousTimeout is the latency objective where no latency is measured: even on a machine under load nothing takes
-// that long.
+// generousTimeout is the latency objective and timeout in tests that check no latency. Nothing takes that
+// long even on a machine under load.
 const generousTimeout = 20 * time.Second
 
-// TestMain lets the test program run as a stand-in.
+// TestMain runs the test program as a stand-in if RoleVariable is set.
 func TestMain(m *testing.M) {
 	if role := os.Getenv(RoleVariable); role != "" {
 		if err := RunStandIn(context.Background(), role, os.Stdin, os.Stdout); err != nil {
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// buildSidecar builds the sidecar program as it is deployed, and returns its path.
+// buildSidecar builds the sidecar program with the deployed build command, and returns its path.
 func buildSidecar(t *testing.T) string {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -45,25 +45,26 @@
 	}
 	build := regexp.MustCompile(`(?m)^build = "mkdir -p bin && (.* -o) bin/ \./cmd/\.\.\."$`).FindSubmatch(raw)
 	if build == nil {
-		t.Fatal("deploy/balancer.toml builds in another way than this test knows")
+		t.Fatal("deploy/balancer.toml: no build command of the expected form")
 	}
 	path := filepath.Join(t.TempDir(), "sidecar")
 	cmd := exec.Command("bash", "-c", string(build[1])+` "$0" ./cmd/sidecar`, path)
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", cmd, err, out)
+		t.Fatalf("build sidecar: %s: %v\n%s", cmd, err, out)
 	}
 	return path
 }
 
+// newBench returns a Bench with a newly built sidecar and the test program as the stand-in program.
 func newBench(t *testing.T, latencyObjective time.Duration) *Bench {
 	t.Helper()
 	return &Bench{Program: buildSidecar(t), StandIn: os.Args[0], Dir: t.TempDir(), LatencyObjective: latencyObjective}
 }
 
-// TestOverhead checks that measurements are complete: all requests through the real program succeed and reach a server
-// once, and all gossip is received. With -measure it makes the full measurement instead, and prints the figures without
-// any check of them.
+// Guards against incomplete measurements: each request through the real program has to succeed and reach a
+// server once, and all gossip has to be received. With -measure, TestOverhead makes the full measurement
+// instead and prints the results without checking them.
 func TestOverhead(t *testing.T) {
 	if *measure {
 		measureAll(t)
@@ -75,7 +76,8 @@
 	t.Run("gossip", func(t *testing.T) { testGossipIsReceived(t, b) })
 }
 
-// All requests are answered 200, directly and through the sidecar, and servers get each of them once.
+// testMeasureRequests checks that all requests are answered 200, directly and through the sidecar, and that
+// each reaches a server once.
 func testMeasureRequests(t *testing.T, b *Bench) {
 	const requests = 100
 	cost, err := b.MeasureRequests(t.Context(), FleetSize{Peers: 16, Servers: 16, ListInConfig: true}, meanRequestRate, requests, 1)
@@ -83,30 +85,31 @@
 		t.Fatal(err)
 	}
 	if cost.Served != cost.Sent {
-		t.Errorf("%d requests were sent, and servers received %d", cost.Sent, cost.Served)
+		t.Errorf("requests sent = %d, requests received by servers = %d, want the same", cost.Sent, cost.Served)
 	}
 	for path, blocks := range map[string][]Block{"direct": cost.Direct, "sidecar": cost.Proxied} {
 		if len(blocks) != 1 {
-			t.Fatalf("%s: %d blocks", path, len(blocks))
+			t.Fatalf("%s: number of blocks = %d, want 1", path, len(blocks))
 		}
 		r := blocks[0].Result
 		if r.Requests != requests || r.OK != requests || r.WrongResponses != 0 || r.Failed != 0 {
-			t.Errorf("%s: %d requests, of which %d OK, %d wrong, %d failed: %s", path, r.Requests, r.OK, r.WrongResponses, r.Failed, r.FirstError)
+			t.Errorf("%s: requests = %d, OK = %d, wrong responses = %d, failed = %d, first error = %s, want all requests sent and OK", path, r.Requests, r.OK, r.WrongResponses, r.Failed, r.FirstError)
 		}
 		if n := hdrhistogram.Import(r.Latency).TotalCount(); n != requests {
-			t.Errorf("%s: %d latencies", path, n)
+			t.Errorf("%s: number of latencies = %d, want one per request", path, n)
 		}
 	}
 	if cost.Proxied[0].SidecarCPU <= 0 {
-		t.Error("the sidecar used no processor time for requests")
+		t.Error("CPU time of the sidecar for requests is not positive")
 	}
 }
 
-// Each kind of interval is measured once, and only those with requests have some.
+// testMeasureCPUBreakdown checks that one round has one interval of each kind, and that only the intervals
+// with requests have requests, all of them OK.
 func testMeasureCPUBreakdown(t *testing.T, b *Bench) {
-	const rate, d = 40, 100 * time.Millisecond
-	const requests = 4 // rate * d
-	breakdown, err := b.MeasureCPUBreakdown(t.Context(), FleetSize{Peers: 41, Servers: 16, ListInConfig: true}, rate, 10*time.Millisecond, d, 1)
+	const rate, intervalLength = 40, 100 * time.Millisecond
+	const requests = 4 // rate * intervalLength
+	breakdown, err := b.MeasureCPUBreakdown(t.Context(), FleetSize{Peers: 41, Servers: 16, ListInConfig: true}, rate, 10*time.Millisecond, intervalLength, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,12 +125,13 @@
 	} {
 		i := test.intervals
 		if len(i) != 1 || i[0].Requests != test.wantRequests || i[0].OK != test.wantRequests {
-			t.Errorf("%s: %+v, want one interval with %d requests", test.name, i, test.wantRequests)
+			t.Errorf("%s: intervals = %+v, want one interval with %d requests, all OK", test.name, i, test.wantRequests)
 		}
 	}
 }
 
-// The sidecar gets its endpoint list from discovery, and reads all datagrams of the peers that its configuration has.
+// testGossipIsReceived checks that the sidecar gets its endpoint list from discovery, and that it reads all
+// datagrams of configured peers and logs no warning about them.
 func testGossipIsReceived(t *testing.T, b *Bench) {
 	const peers, servers, datagrams = 41, 50, 200
 	ctx := t.Context()
@@ -136,32 +140,33 @@
 		t.Fatal(err)
 	}
 	if size := int64(len(endpointList(servers, tb.server.addresses.Service, true))); tb.startCost.ListBytes < size {
-		t.Errorf("discovery sent %d bytes, the list has %d", tb.startCost.ListBytes, size)
+		t.Errorf("bytes sent by discovery = %d, want at least %d, the size of the endpoint list", tb.startCost.ListBytes, size)
 	}
-	var seen Counts
-	if err := tb.peers.call(ctx, "/gossip", gossipLoad{Target: tb.gossipAddress, Rate: 1000, Count: datagrams}, &seen); err != nil {
+	var peerCounts Counts
+	if err := tb.peers.call(ctx, "/gossip", gossipLoad{Target: tb.gossipAddress, Rate: 1000, Count: datagrams}, &peerCounts); err != nil {
 		t.Error(err)
 	}
-	if seen.BytesSent != datagrams*datagramBytes {
-		t.Errorf("%d bytes were sent, want %d", seen.BytesSent, datagrams*datagramBytes)
+	if peerCounts.BytesSent != datagrams*datagramBytes {
+		t.Errorf("gossip bytes sent = %d, want %d", peerCounts.BytesSent, datagrams*datagramBytes)
 	}
 	waitUntilRead(t, tb.gossipAddress)
 	if n := tb.sidecar.warnings.Load(); n != 0 {
-		t.Errorf("the sidecar's log has %d warnings", n)
+		t.Errorf("warnings in the sidecar's log = %d, want 0", n)
 	}
 	if err := tb.close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// waitUntilRead waits until all datagrams at an address have been read. It fails the test if one was dropped.
+// waitUntilRead waits until all datagrams received at an address have been read. It fails the test if a
+// datagram was dropped or generousTimeout has passed.
 func waitUntilRead(t *testing.T, address string) {
 	t.Helper()
 	deadline := time.Now().Add(generousTimeout)
 	for {
 		drops, unread, err := udpSocketState(address)
 		if err != nil || drops != 0 || time.Now().After(deadline) {
-			t.Fatalf("%d datagrams were dropped and %d bytes not read: %v", drops, unread, err)
+			t.Fatalf("dropped datagrams = %d, unread bytes = %d, error = %v, want all datagrams read and none dropped", drops, unread, err)
 		}
 		if unread == 0 {
 			return
--- a/internal/sidecarbench/breakdown.go
+++ b/internal/sidecarbench/breakdown.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// CPUBreakdown is the processor time of a sidecar in intervals with and without requests and gossip.
+// CPUBreakdown is the CPU time of a sidecar in intervals with and without requests and gossip.
 type CPUBreakdown struct {
 	FleetSize
-	ServiceTime                  time.Duration // of the servers, for a request
-	RequestRate, GossipRate      float64       // requests and datagrams per second
-	Idle, Requests, Gossip, Both []Interval    // by the traffic of the sidecar
+	ServiceTime                  time.Duration // time in which a server processes a request
+	RequestRate, GossipRate      float64       // requests per second, datagrams per second
+	Idle, Requests, Gossip, Both []Interval    // intervals by the kind of traffic
 }
 
-// trafficKind is one of the kinds of intervals in a CPUBreakdown.
+// trafficKind is one of the four kinds of traffic in a CPUBreakdown.
 type trafficKind struct {
 	requests, gossip bool
-	intervals        *[]Interval
+	intervals        *[]Interval // the field of the CPUBreakdown for intervals of this kind
 }
 
-// breakdownMeasurement is a running measurement of a CPUBreakdown.
+// breakdownMeasurement is a measurement of a CPUBreakdown in progress.
 type breakdownMeasurement struct {
 	testbed   *testbed
 	generator *standIn
-	timeout   time.Duration // of a request
-	duration  time.Duration // of an interval
+	timeout   time.Duration // timeout of a request
+	duration  time.Duration // length of an interval
 	result    CPUBreakdown
 }
 
-// MeasureCPUBreakdown measures rounds of one interval of each kind, of length d each and with requestRate requests per
-// second. Each round begins with the next kind.
-func (b *Bench) MeasureCPUBreakdown(ctx context.Context, size FleetSize, requestRate float64, serviceTime, d time.Duration, rounds int) (CPUBreakdown, error) {
+// MeasureCPUBreakdown measures a number of rounds. A round has one interval of each kind of traffic; the kind
+// that comes first rotates from round to round. requestRate is in requests per second.
+func (b *Bench) MeasureCPUBreakdown(ctx context.Context, size FleetSize, requestRate float64, serviceTime, intervalLength time.Duration, rounds int) (CPUBreakdown, error) {
 	tb, err := b.newTestbed(ctx, size, maxSenders, serviceTime)
 	if err != nil {
 		return CPUBreakdown{}, err
@@ -42,15 +42,16 @@
 		return CPUBreakdown{}, errors.Join(err, tb.close())
 	}
 	m := breakdownMeasurement{
-		testbed: tb, generator: generator, timeout: 2 * b.LatencyObjective, duration: d,
+		testbed: tb, generator: generator, timeout: 2 * b.LatencyObjective, duration: intervalLength,
 		result: CPUBreakdown{FleetSize: size, ServiceTime: serviceTime, RequestRate: requestRate, GossipRate: b.gossipRate(size)},
 	}
 	err = m.run(ctx, rounds)
-	err = errors.Join(err, generator.stop(), tb.close()) // in this order, as the sidecar waits for its connections
+	// The generator first: the sidecar stops only after its connections are closed.
+	err = errors.Join(err, generator.stop(), tb.close())
 	return m.result, err
 }
 
-// run measures all rounds.
+// run measures the intervals of all rounds.
 func (m *breakdownMeasurement) run(ctx context.Context, rounds int) error {
 	kinds := []trafficKind{
 		{false, false, &m.result.Idle},
@@ -63,7 +64,7 @@
 			kind := kinds[(round+i)%len(kinds)]
 			interval, err := m.testbed.measureInterval(ctx, m.traffic(kind, round, i), m.duration)
 			if err != nil {
-				return fmt.Errorf("breakdown of processor time: %w", err)
+				return fmt.Errorf("measure CPU breakdown: %w", err)
 			}
 			*kind.intervals = append(*kind.intervals, interval)
 		}
@@ -71,11 +72,11 @@
 	return nil
 }
 
-// traffic returns the traffic of the i-th interval of a round.
+// traffic returns the traffic of interval i of a round.
 func (m *breakdownMeasurement) traffic(kind trafficKind, round, i int) traffic {
 	t := traffic{gossip: gossipLoad{Target: m.testbed.gossipAddress, Rate: m.result.GossipRate, Seed: uint64(round)}}
 	if kind.gossip {
-		t.gossip.Count = datagramsIn(m.duration, m.result.GossipRate)
+		t.gossip.Count = datagramCount(m.duration, m.result.GossipRate)
 	}
 	if kind.requests {
 		t.generator = m.generator
--- a/internal/sidecarbench/counters.go
+++ b/internal/sidecarbench/counters.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// Counts is what a stand-in has counted.
+// Counts are the counters of a stand-in since its start.
 type Counts struct {
-	Requests                 int64 // server: those with an id. discovery: all
-	Connections              int64 // accepted
-	BytesReceived, BytesSent int64 // without headers of TCP, UDP and IP
-	Datagrams                int64 // peers: received
+	Requests                 int64 // servers: requests with a request ID; discovery: all requests
+	Connections              int64 // accepted connections
+	BytesReceived, BytesSent int64 // payload bytes, without TCP, UDP and IP headers
+	Datagrams                int64 // peers: datagrams received at the broadcast address
 }
 
-// minus is what was counted since earlier counts.
-func (c Counts) minus(earlier Counts) Counts {
+// sub returns the increase of each counter since earlier.
+func (c Counts) sub(earlier Counts) Counts {
 	return Counts{
 		Requests:      c.Requests - earlier.Requests,
 		Connections:   c.Connections - earlier.Connections,
@@ -24,9 +24,10 @@
 	}
 }
 
-// counters are Counts that goroutines may change concurrently.
+// counters are the values of Counts for concurrent use.
 type counters struct{ requests, connections, bytesReceived, bytesSent, datagrams atomic.Int64 }
 
+// counts returns the current values.
 func (c *counters) counts() Counts {
 	return Counts{
 		Requests:      c.requests.Load(),
@@ -37,13 +38,13 @@
 	}
 }
 
-// countingListener counts the connections that it accepts, and their bytes.
+// countingListener counts the connections that it accepts and the bytes that they transfer.
 type countingListener struct {
 	net.Listener
 	counters *counters
 }
 
-// Accept returns the next connection.
+// Accept counts the next connection and returns it as a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -53,20 +54,20 @@
 	return countingConn{conn, l.counters}, nil
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes that a connection transfers.
 type countingConn struct {
 	net.Conn
 	counters *counters
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.counters.bytesReceived.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.counters.bytesSent.Add(int64(n))
--- a/internal/sidecarbench/gossip.go
+++ b/internal/sidecarbench/gossip.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Bytes of a gossip datagram, and of its UDP and IP headers.
 const (
-	datagramBytes       = 24
-	datagramHeaderBytes = 28
+	datagramBytes       = 24 // payload of a gossip datagram
+	datagramHeaderBytes = 28 // UDP and IP headers of a datagram
 )
 
-// GossipCost is what it costs a sidecar to receive gossip.
+// GossipCost is the cost of receiving gossip for a sidecar.
 type GossipCost struct {
 	FleetSize
-	Senders           int        // peers with a socket, which send for all
+	Senders           int        // peers with a socket; they send the gossip of all peers
 	Rate              float64    // datagrams per second
-	Silent, Receiving []Interval // in pairs: without and with gossip
-	Received          int64      // datagrams by the sidecar's last log line about them (every 10 s)
+	Silent, Receiving []Interval // pairs of intervals without gossip and with gossip
+	Received          int64      // received datagrams by the sidecar's last counters line, logged every 10 s
 }
 
-// gossipRate is the rate of datagrams at a sidecar, per second, if each of its peers sends one per latency objective.
+// gossipRate returns the number of datagrams per second that a sidecar receives if each of its peers sends
+// one per latency objective.
 func (b *Bench) gossipRate(size FleetSize) float64 {
 	return float64(size.Peers-1) / b.LatencyObjective.Seconds()
 }
 
-// datagramsIn is how many datagrams come at a rate in d, at least one.
-func datagramsIn(d time.Duration, rate float64) int { return max(1, int(rate*d.Seconds())) }
+// datagramCount returns the number of datagrams during d at a rate per second, at least one.
+func datagramCount(d time.Duration, rate float64) int { return max(1, int(rate*d.Seconds())) }
 
-// MeasureGossip measures pairs of intervals of length d, one silent and one with the gossip of all peers, without any
-// requests.
-func (b *Bench) MeasureGossip(ctx context.Context, size FleetSize, d time.Duration, pairs int) (cost GossipCost, err error) {
+// MeasureGossip measures pairs of intervals without requests: one without gossip and one with the gossip of
+// all peers.
+func (b *Bench) MeasureGossip(ctx context.Context, size FleetSize, intervalLength time.Duration, pairs int) (cost GossipCost, err error) {
 	tb, err := b.newTestbed(ctx, size, maxSenders, 0)
 	if err != nil {
 		return GossipCost{}, err
@@ -42,8 +42,8 @@
 	for pair := range pairs {
 		receivingFirst := pair%2 == 0
 		for _, receiving := range []bool{receivingFirst, !receivingFirst} {
-			if err := cost.measure(ctx, tb, d, uint64(pair), receiving); err != nil {
-				return cost, fmt.Errorf("gossip: %w", err)
+			if err := cost.measure(ctx, tb, intervalLength, uint64(pair), receiving); err != nil {
+				return cost, fmt.Errorf("measure gossip: %w", err)
 			}
 		}
 	}
@@ -51,13 +51,13 @@
 	return cost, nil
 }
 
-// measure adds one interval.
-func (c *GossipCost) measure(ctx context.Context, tb *testbed, d time.Duration, seed uint64, receiving bool) error {
+// measure measures one interval and adds it to the cost.
+func (c *GossipCost) measure(ctx context.Context, tb *testbed, intervalLength time.Duration, seed uint64, receiving bool) error {
 	gossip := gossipLoad{Target: tb.gossipAddress, Rate: c.Rate, Seed: seed}
 	if receiving {
-		gossip.Count = datagramsIn(d, c.Rate)
+		gossip.Count = datagramCount(intervalLength, c.Rate)
 	}
-	interval, err := tb.measureInterval(ctx, traffic{gossip: gossip}, d)
+	interval, err := tb.measureInterval(ctx, traffic{gossip: gossip}, intervalLength)
 	if err != nil {
 		return err
 	}
--- a/internal/sidecarbench/idle.go
+++ b/internal/sidecarbench/idle.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// IdleCost is what a sidecar without requests costs.
+// IdleCost is the cost of a sidecar without requests.
 type IdleCost struct {
 	StartCost
-	Duration  time.Duration // of the measurement
-	CPU       time.Duration // processor time
-	Memory    Memory        // at the end
-	Discovery Counts        // of its calls of discovery
-	Gossip    Counts        // of its datagrams, as its peers see them
+	Duration  time.Duration // length of the measurement
+	CPU       time.Duration // CPU time used during the measurement
+	Memory    Memory        // memory at the end of the measurement
+	Discovery Counts        // calls to discovery, counted by discovery
+	Gossip    Counts        // gossip that the sidecar sent, counted by its peers
 }
 
-// MeasureIdle measures sidecars for fleets of these sizes for d, after starting one after the other. All are measured
-// at the same time, as each uses next to nothing.
-func (b *Bench) MeasureIdle(ctx context.Context, sizes []FleetSize, d time.Duration) (costs []IdleCost, err error) {
+// MeasureIdle starts a sidecar for each fleet size, one after the other, and then measures all of them for
+// the given duration. They are measured at the same time because an idle sidecar uses too little CPU time to
+// affect the others.
+func (b *Bench) MeasureIdle(ctx context.Context, sizes []FleetSize, duration time.Duration) (costs []IdleCost, err error) {
 	var testbeds []*testbed
 	defer func() {
 		for _, tb := range testbeds {
@@ -32,7 +33,7 @@
 		}
 		testbeds = append(testbeds, tb)
 	}
-	usages, err := measureIdleUsage(ctx, testbeds, d)
+	usages, err := measureIdleUsage(ctx, testbeds, duration)
 	if err != nil {
 		return nil, err
 	}
@@ -40,28 +41,28 @@
 		before, after := usages[i].before, usages[i].after
 		costs = append(costs, IdleCost{
 			StartCost: tb.startCost,
-			Duration:  d,
+			Duration:  duration,
 			CPU:       after.cpu - before.cpu,
 			Memory:    after.memory,
-			Discovery: after.discovery.minus(before.discovery),
-			Gossip:    after.gossip.minus(before.gossip),
+			Discovery: after.discovery.sub(before.discovery),
+			Gossip:    after.gossip.sub(before.gossip),
 		})
 	}
 	return costs, nil
 }
 
-// idleUsage is what a sidecar has used since its start.
+// idleUsage is the CPU time and the traffic of a sidecar since its start, and its current memory.
 type idleUsage struct {
 	cpu               time.Duration
 	memory            Memory
 	discovery, gossip Counts
 }
 
-// idleInterval is the usage of a sidecar before and after an interval.
+// idleInterval is the usage of a sidecar at the start and at the end of an interval.
 type idleInterval struct{ before, after idleUsage }
 
-// measureIdleUsage measures all sidecars before and after d.
-func measureIdleUsage(ctx context.Context, testbeds []*testbed, d time.Duration) ([]idleInterval, error) {
+// measureIdleUsage reads the usage of all sidecars, waits for the given duration and reads it again.
+func measureIdleUsage(ctx context.Context, testbeds []*testbed, duration time.Duration) ([]idleInterval, error) {
 	intervals := make([]idleInterval, len(testbeds))
 	var err error
 	for i, tb := range testbeds {
@@ -69,7 +70,7 @@
 			return nil, err
 		}
 	}
-	if err := wait(ctx, d); err != nil {
+	if err := wait(ctx, duration); err != nil {
 		return nil, err
 	}
 	for i, tb := range testbeds {
@@ -80,13 +81,14 @@
 	return intervals, nil
 }
 
-func (tb *testbed) idleUsage(ctx context.Context) (u idleUsage, err error) {
-	if u.cpu, u.memory, err = tb.sidecarUsage(); err != nil {
-		return u, err
+// idleUsage returns the current usage of the sidecar.
+func (tb *testbed) idleUsage(ctx context.Context) (usage idleUsage, err error) {
+	if usage.cpu, usage.memory, err = tb.sidecarUsage(); err != nil {
+		return usage, err
 	}
-	if u.discovery, err = tb.discovery.counts(ctx); err != nil {
-		return u, err
+	if usage.discovery, err = tb.discovery.counts(ctx); err != nil {
+		return usage, err
 	}
-	u.gossip, err = tb.peers.counts(ctx)
-	return u, err
+	usage.gossip, err = tb.peers.counts(ctx)
+	return usage, err
 }
--- a/internal/sidecarbench/interval.go
+++ b/internal/sidecarbench/interval.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Interval is what a sidecar used and got in a time.
+// Interval is the CPU time of a sidecar and its traffic during a period.
 type Interval struct {
 	Duration     time.Duration
-	CPU          time.Duration // processor time of the sidecar
-	Datagrams    int           // gossip datagrams that were sent to it
-	Dropped      int           // of these, by the kernel, as the socket's buffer was full
-	Requests, OK int           // that were sent to it, and of these answered 200
+	CPU          time.Duration // CPU time of the sidecar
+	Datagrams    int           // gossip datagrams sent to the sidecar
+	Dropped      int           // gossip datagrams dropped by the kernel because the socket's buffer was full
+	Requests, OK int           // requests sent to the sidecar, and requests answered 200
 }
 
-// traffic is what a sidecar gets in an interval.
+// traffic is the traffic to send to a sidecar during an interval.
 type traffic struct {
-	gossip    gossipLoad // none if its Count is 0
-	generator *standIn   // nil: no requests
+	gossip    gossipLoad // no gossip is sent if its Count is 0
+	generator *standIn   // sends the requests; nil: no requests
 	requests  Load
 }
 
-// measureInterval measures the sidecar for d, or longer if its traffic takes longer.
-func (tb *testbed) measureInterval(ctx context.Context, t traffic, d time.Duration) (Interval, error) {
+// measureInterval sends traffic to the sidecar and measures it for minLength, or until the traffic has ended
+// if that takes longer.
+func (tb *testbed) measureInterval(ctx context.Context, t traffic, minLength time.Duration) (Interval, error) {
 	droppedBefore, _, err := udpSocketState(tb.gossipAddress)
 	if err != nil {
 		return Interval{}, err
@@ -33,7 +34,7 @@
 	if err != nil {
 		return Interval{}, err
 	}
-	result, err := tb.sendTraffic(ctx, t, d)
+	result, err := tb.sendTraffic(ctx, t, minLength)
 	if err != nil {
 		return Interval{}, err
 	}
@@ -50,8 +51,8 @@
 	return interval, err
 }
 
-// sendTraffic sends gossip and requests, and returns when both have ended and d is over.
-func (tb *testbed) sendTraffic(ctx context.Context, t traffic, d time.Duration) (result LoadResult, err error) {
+// sendTraffic sends gossip and requests. It returns when both have ended and minLength has elapsed.
+func (tb *testbed) sendTraffic(ctx context.Context, t traffic, minLength time.Duration) (result LoadResult, err error) {
 	errs, senders := make(chan error, 2), 0
 	if t.gossip.Count > 0 {
 		senders++
@@ -61,7 +62,7 @@
 		senders++
 		go func() { errs <- t.generator.call(ctx, "/load", t.requests, &result) }()
 	}
-	err = wait(ctx, d)
+	err = wait(ctx, minLength)
 	for range senders {
 		err = errors.Join(err, <-errs)
 	}
--- a/internal/sidecarbench/load.go
+++ b/internal/sidecarbench/load.go
@@ -13,50 +13,51 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// responseBodyBytes is the length of the responses of stand-in servers. A response of another length is a wrong one.
+// responseBodyBytes is the length of the response bodies of stand-in servers. A response with a body of any
+// other length counts as wrong.
 const responseBodyBytes = 512
 
-// errWrongResponse is a response other than 200 with a complete body.
+// errWrongResponse is the error of a response with a status other than 200 or a body of the wrong length.
 var errWrongResponse = errors.New("wrong response")
 
-// Load is an open-loop load: request number i is scheduled at i/Rate after the start, whatever becomes of the others.
-// Its latency counts from that time, so that requests which wait behind a slow one show how long they waited (no
-// coordinated omission). All fields have to be set.
+// Load is an open-loop load: request i is scheduled at i/Rate seconds after the start, independently of the
+// other requests. Latency is measured from the scheduled time, so that it includes the time that a request
+// waits behind a slow one (no coordinated omission). All fields are required.
 type Load struct {
-	Targets     []string // addresses, used in turn
-	Rate        float64  // requests per second
-	Requests    int
-	MaxInFlight int           // requests beyond wait, which counts for their latency
-	Timeout     time.Duration // of one request
-	IDPrefix    string        // of the request ids, which must be unique among concurrent loads
+	Targets     []string      // addresses, used in round-robin order
+	Rate        float64       // requests per second
+	Requests    int           // number of requests
+	MaxInFlight int           // maximum number of concurrent requests; waiting counts towards latency
+	Timeout     time.Duration // timeout of each request
+	IDPrefix    string        // prefix of the request IDs, unique among concurrent loads
 }
 
 // LoadResult is the result of a Load. Latencies are in nanoseconds.
 type LoadResult struct {
-	Requests       int // that were sent
-	OK             int // answered 200 with a complete body
-	WrongResponses int
-	Failed         int    // without a response
-	FirstError     string // of a request that was not OK
-	CPU            time.Duration
+	Requests       int                    // requests sent
+	OK             int                    // requests answered 200 with a complete body
+	WrongResponses int                    // requests with any other complete response
+	Failed         int                    // requests without a complete response
+	FirstError     string                 // error of the first request that was not OK
+	CPU            time.Duration          // CPU time of the load generator
 	Latency        *hdrhistogram.Snapshot // from the scheduled time to the end of the response
-	ScheduleDelay  *hdrhistogram.Snapshot // from the scheduled time to the start of the request, in the generator
+	ScheduleDelay  *hdrhistogram.Snapshot // from the scheduled time until the load generator sends the request
 }
 
-// scheduledRequest is a request that a worker has to send now.
+// scheduledRequest is a request whose scheduled time has come.
 type scheduledRequest struct {
 	number      int
 	scheduledAt time.Time
 }
 
-// Run sends the load with a client that keeps its connections, and returns when all requests have ended. It returns an
-// error if the load is invalid or ctx ends, but not for requests that fail.
+// Run sends the load with a client that keeps its connections, and returns when all requests have ended. It
+// returns an error if the load is invalid or ctx ends, but not for failed requests.
 func (l Load) Run(ctx context.Context, client *http.Client) (LoadResult, error) {
 	if len(l.Targets) == 0 || l.Rate <= 0 || l.Requests <= 0 || l.MaxInFlight <= 0 || l.Timeout <= 0 {
-		return LoadResult{}, fmt.Errorf("load %+v: all fields have to be set", l)
+		return LoadResult{}, fmt.Errorf("load %+v: no Targets, or Rate, Requests, MaxInFlight or Timeout not positive", l)
 	}
 	stats := newLoadStats()
-	requests := make(chan scheduledRequest) // unbuffered: a scheduled request waits until a worker is free
+	requests := make(chan scheduledRequest) // unbuffered: a request waits here until a worker is free
 	var workers sync.WaitGroup
 	for range l.MaxInFlight {
 		workers.Go(func() {
@@ -71,12 +72,12 @@
 	close(requests)
 	workers.Wait()
 	if err != nil {
-		return LoadResult{}, fmt.Errorf("load: %w", err)
+		return LoadResult{}, fmt.Errorf("send load: %w", err)
 	}
 	return stats.result(sent), nil
 }
 
-// schedule passes each request to a worker at its time, and returns how many it passed.
+// schedule passes each request to a worker at its scheduled time. It returns the number of requests passed.
 func (l Load) schedule(ctx context.Context, requests chan<- scheduledRequest) (sent int, err error) {
 	offset := func(i int) time.Duration { return time.Duration(float64(i) / l.Rate * float64(time.Second)) }
 	err = runSchedule(ctx, l.Requests, offset, func(i int, scheduledAt time.Time) error {
@@ -91,7 +92,8 @@
 	return sent, err
 }
 
-// send sends one request in the format of the sidecar, which stand-in servers accept too.
+// send sends one request with the headers that the sidecar requires. Stand-in servers accept the same
+// request.
 func (l Load) send(ctx context.Context, client *http.Client, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
@@ -121,7 +123,8 @@
 	return nil
 }
 
-// newClient returns a client that keeps up to maxConnections connections to each target, as an application does.
+// newClient returns a client that keeps up to maxConnections connections to each target open, as an
+// application does.
 func newClient(maxConnections int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost: maxConnections, MaxIdleConnsPerHost: maxConnections, MaxIdleConns: 0, DisableCompression: true,
--- a/internal/sidecarbench/load_stats.go
+++ b/internal/sidecarbench/load_stats.go
@@ -9,14 +9,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of latency histograms, in nanoseconds, and their precision in significant digits.
 const (
-	minLatency    = int64(100 * time.Nanosecond)
-	maxLatency    = int64(time.Minute)
-	latencyDigits = 3
+	minLatency    = int64(100 * time.Nanosecond) // lowest value in a latency histogram, in nanoseconds
+	maxLatency    = int64(time.Minute)           // highest value in a latency histogram, in nanoseconds
+	latencyDigits = 3                            // precision of a latency histogram, in significant digits
 )
 
-// loadStats collects the results of requests from all workers of a load.
+// loadStats collects the results of a load's requests. All workers record to it concurrently.
 type loadStats struct {
 	ok, wrongResponses, failed atomic.Int64
 
@@ -34,12 +33,12 @@
 	return hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 }
 
-// recordLatency records a latency, limited to the range of the histogram.
+// recordLatency records a latency, clamped to the range of the histogram.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(int64(d), minLatency), maxLatency)) // it fails out of range only
+	_ = h.RecordValue(min(max(int64(d), minLatency), maxLatency)) // fails only for values out of range
 }
 
-// record records one request.
+// record records the result of one request. A nil error means that it was OK.
 func (s *loadStats) record(scheduledAt, startedAt, endedAt time.Time, err error) {
 	switch {
 	case err == nil:
@@ -58,7 +57,7 @@
 	recordLatency(s.scheduleDelay, startedAt.Sub(scheduledAt))
 }
 
-// result is the result of a load of so many requests, when all have ended.
+// result returns the result of a load. requests is the number of requests sent, all of which have ended.
 func (s *loadStats) result(requests int) LoadResult {
 	r := LoadResult{
 		Requests:       requests,
--- a/internal/sidecarbench/measure_test.go
+++ b/internal/sidecarbench/measure_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// measureAll makes the full measurement. The load of the machine is printed with each table, as it affects the figures.
+// measureAll makes the full measurement. It prints the load average of the machine with each table, as other
+// load affects the results.
 func measureAll(t *testing.T) {
 	b := newBench(t, 2*time.Second)
 	t.Logf("load of the machine: %s", loadAverage())
@@ -17,7 +18,7 @@
 	measureRequestRates(t, b)
 }
 
-// loadAverage returns /proc/loadavg, or why it cannot be read.
+// loadAverage returns the content of /proc/loadavg, or the text of the error if it cannot be read.
 func loadAverage() string {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -26,7 +27,8 @@
 	return strings.TrimSpace(string(raw))
 }
 
-// measureIdleFleets varies the peers, the servers in the configuration and the servers from discovery.
+// measureIdleFleets measures starts and idle sidecars for fleets that differ in the number of peers, of
+// servers listed in the configuration, or of servers listed only by discovery.
 func measureIdleFleets(t *testing.T, b *Bench) {
 	t.Helper()
 	var sizes []FleetSize
@@ -50,6 +52,7 @@
 	t.Logf("load of the machine: %s\nstarts\n\n%s\nno requests\n\n%s", loadAverage(), StartTable(starts), IdleTable(idle))
 }
 
+// measureGossipFleets measures the receipt of gossip for fleets that differ in the number of peers.
 func measureGossipFleets(t *testing.T, b *Bench) {
 	t.Helper()
 	var costs []GossipCost
@@ -63,7 +66,8 @@
 	t.Logf("load of the machine: %s\ngossip\n\n%s", loadAverage(), GossipTable(costs))
 }
 
-// measureBreakdowns measures few requests beside gossip, to servers that respond at once and to slow ones.
+// measureBreakdowns measures a low request rate together with gossip, for servers that respond at once and
+// for slow servers.
 func measureBreakdowns(t *testing.T, b *Bench) {
 	t.Helper()
 	var breakdowns []CPUBreakdown
@@ -77,7 +81,8 @@
 	t.Logf("load of the machine: %s\nfew requests beside gossip\n\n%s", loadAverage(), CPUBreakdownTable(breakdowns))
 }
 
-// measureRequestRates measures the mean request rate and four times as much, in a small and in a large fleet.
+// measureRequestRates measures requests at the mean request rate and at four times that rate, in a small and
+// in a large fleet.
 func measureRequestRates(t *testing.T, b *Bench) {
 	t.Helper()
 	var costs []RequestCost
--- a/internal/sidecarbench/process_usage_test.go
+++ b/internal/sidecarbench/process_usage_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// startLoop starts a process that uses processor time, then writes a byte to its output, and ends with its input.
-func startLoop(t *testing.T) (cmd *exec.Cmd, stdin io.Closer, stdout io.Reader) {
+// startBusyProcess starts a process that uses CPU time, then writes a byte to its standard output, and ends
+// when its standard input is closed.
+func startBusyProcess(t *testing.T) (cmd *exec.Cmd, stdin io.Closer, stdout io.Reader) {
 	t.Helper()
 	cmd = exec.Command("bash", "-c", "i=0; while ((i<20000)); do ((i+=1)); done; echo; read -r")
 	stdin, err := cmd.StdinPipe()
@@ -25,9 +26,10 @@
 	return cmd, stdin, stdout
 }
 
-// The processor time of another process grows while it works, and cannot be read any more when it has ended.
+// Guards against a wrong reading of the CPU-time clock of another process: the CPU time has to grow while the
+// process works, agree with rusage, and be an error after the end of the process.
 func TestProcessUsage(t *testing.T) {
-	cmd, stdin, stdout := startLoop(t)
+	cmd, stdin, stdout := startBusyProcess(t)
 	before, err := cpuTime(cmd.Process.Pid)
 	if err != nil {
 		t.Error(err)
@@ -37,19 +39,19 @@
 	}
 	after, err := cpuTime(cmd.Process.Pid)
 	if err != nil || after <= before {
-		t.Errorf("%v, then %v: %v", before, after, err)
+		t.Errorf("cpuTime = %v before the work, %v after it, error = %v, want an increase", before, after, err)
 	}
 	if m, err := readMemory(cmd.Process.Pid); err != nil || m.Resident <= 0 || m.Peak < m.Resident {
-		t.Errorf("%+v: %v", m, err)
+		t.Errorf("readMemory = %+v, error = %v, want Resident > 0 and Peak >= Resident", m, err)
 	}
 	if err := stdin.Close(); err != nil {
 		t.Error(err)
 	}
-	_ = cmd.Wait() // the read at the end of its input fails
+	_ = cmd.Wait() // an error, as the read at the end of its input fails
 	if total := cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime(); total < after-time.Microsecond {
-		t.Errorf("rusage has %v in total, the clock had %v before", total, after)
+		t.Errorf("CPU time by rusage = %v, want at least the earlier cpuTime of %v", total, after)
 	}
 	if _, err := cpuTime(cmd.Process.Pid); err == nil {
-		t.Error("a process that has ended has a clock")
+		t.Error("cpuTime of a process that has ended: error = nil, want an error")
 	}
 }
--- a/internal/sidecarbench/samples.go
+++ b/internal/sidecarbench/samples.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// samples are repeated measurements of a figure.
+// samples are repeated measurements of one quantity.
 type samples []float64
 
 func (s samples) mean() float64 {
@@ -20,8 +20,8 @@
 	return sum / float64(len(s))
 }
 
-// deviation is the sample standard deviation, and 0 for less than two samples.
-func (s samples) deviation() float64 {
+// standardDeviation returns the sample standard deviation, or 0 for fewer than two samples.
+func (s samples) standardDeviation() float64 {
 	if len(s) < 2 {
 		return 0
 	}
@@ -32,51 +32,52 @@
 	return math.Sqrt(sum / float64(len(s)-1))
 }
 
-// String returns the mean, the standard deviation, the minimum and the maximum.
+// String returns the mean, the standard deviation, the minimum and the maximum, or "none" without samples.
 func (s samples) String() string {
 	if len(s) == 0 {
 		return "none"
 	}
-	return fmt.Sprintf("%.3g (sd %.2g; %.3g to %.3g)", s.mean(), s.deviation(), slices.Min(s), slices.Max(s))
+	return fmt.Sprintf("%.3g (sd %.2g; %.3g to %.3g)", s.mean(), s.standardDeviation(), slices.Min(s), slices.Max(s))
 }
 
-// blockFigure is a figure of a block.
-type blockFigure func(Block) float64
+// blockMetric returns a value measured in a block.
+type blockMetric func(Block) float64
 
-// latencyQuantile is a quantile of the latency, in milliseconds.
-func latencyQuantile(percent float64) blockFigure {
+// latencyPercentile returns a metric for a percentile of the latency, in milliseconds.
+func latencyPercentile(percent float64) blockMetric {
 	return func(b Block) float64 {
 		return float64(hdrhistogram.Import(b.Result.Latency).ValueAtPercentile(percent)) / 1e6
 	}
 }
 
-// meanLatency is the mean latency, in milliseconds.
+// meanLatency is the metric for the mean latency, in milliseconds.
 func meanLatency(b Block) float64 { return hdrhistogram.Import(b.Result.Latency).Mean() / 1e6 }
 
-// perRequest is a processor time per request, in microseconds.
-func perRequest(cpu func(Block) time.Duration) blockFigure {
+// cpuPerRequest returns a metric for a CPU time per request, in microseconds.
+func cpuPerRequest(cpu func(Block) time.Duration) blockMetric {
 	return func(b Block) float64 { return cpu(b).Seconds() * 1e6 / float64(b.Result.Requests) }
 }
 
-// sampleBlocks returns a figure of each block.
-func sampleBlocks(blocks []Block, figure blockFigure) samples {
+// sampleBlocks returns the metric's value for each block.
+func sampleBlocks(blocks []Block, metric blockMetric) samples {
 	var s samples
 	for _, b := range blocks {
-		s = append(s, figure(b))
+		s = append(s, metric(b))
 	}
 	return s
 }
 
-// added is what the sidecar adds to a figure: the difference within each pair of blocks.
-func (c RequestCost) added(figure blockFigure) samples {
+// overhead returns what the sidecar adds to a metric: the difference between the proxied and the direct block
+// of each pair.
+func (c RequestCost) overhead(metric blockMetric) samples {
 	var s samples
 	for i := range min(len(c.Direct), len(c.Proxied)) {
-		s = append(s, figure(c.Proxied[i])-figure(c.Direct[i]))
+		s = append(s, metric(c.Proxied[i])-metric(c.Direct[i]))
 	}
 	return s
 }
 
-// mergeLatencies merges a histogram of all blocks.
+// mergeLatencies merges one of the histograms of all blocks.
 func mergeLatencies(blocks []Block, histogram func(LoadResult) *hdrhistogram.Snapshot) *hdrhistogram.Histogram {
 	all := newHistogram()
 	for _, b := range blocks {
@@ -85,8 +86,8 @@
 	return all
 }
 
-// cpuPerDatagram is the processor time per datagram that was not dropped, in microseconds, by pairs of intervals: what
-// the sidecar used beyond that of a silent interval of the same length.
+// cpuPerDatagram returns, for each pair of intervals, the CPU time per datagram that was not dropped, in
+// microseconds. Only the CPU time beyond that of a silent interval of the same length counts.
 func (c GossipCost) cpuPerDatagram() samples {
 	var s samples
 	for i := range min(len(c.Receiving), len(c.Silent)) {
@@ -97,7 +98,7 @@
 	return s
 }
 
-// cpuPerSecond is the processor time of each interval, in milliseconds per second.
+// cpuPerSecond returns the CPU time of the sidecar in each interval, in milliseconds per second.
 func cpuPerSecond(intervals []Interval) samples {
 	var s samples
 	for _, i := range intervals {
@@ -106,9 +107,10 @@
 	return s
 }
 
-// addedPer is the processor time that each interval has used beyond the idle one of its round, in microseconds per
-// request or datagram.
-func (c CPUBreakdown) addedPer(intervals []Interval, count func(Interval) int) samples {
+// addedCPUPer returns the CPU time that the sidecar used in each interval beyond the idle interval of the
+// same round, in microseconds per request or datagram. count returns the number of requests or datagrams in
+// an interval.
+func (c CPUBreakdown) addedCPUPer(intervals []Interval, count func(Interval) int) samples {
 	s := samples{}
 	idle, loaded := cpuPerSecond(c.Idle), cpuPerSecond(intervals)
 	for i, interval := range intervals {
--- a/internal/sidecarbench/sidecar_process.go
+++ b/internal/sidecarbench/sidecar_process.go
@@ -18,74 +18,79 @@
 // sidecarProcess is a running process of the sidecar program.
 type sidecarProcess struct {
 	cmd            *exec.Cmd
-	address        string // for applications
-	logClosed      chan struct{}
-	gossipReceived atomic.Int64 // datagrams, by the last log line about them, which comes every 10 s
-	warnings       atomic.Int64 // log lines of level WARN or ERROR
+	address        string        // where applications connect
+	logEnded       chan struct{} // closed when the log has ended
+	gossipReceived atomic.Int64  // datagrams received by the last counters line in the log, written every 10 s
+	warnings       atomic.Int64  // log lines of level WARN or ERROR
 }
 
-// What the log lines of the sidecar are recognized by.
+// Patterns for the sidecar's log lines.
 var (
-	listenField         = regexp.MustCompile(` INFO serving .*listen=(\S+)`)
-	gossipReceivedField = regexp.MustCompile(` gossip\.received=(\d+)`)
-	warnField           = regexp.MustCompile(`^\S+ \S+ (WARN|ERROR) `)
+	// listenPattern matches the line that reports the listen address.
+	listenPattern = regexp.MustCompile(` INFO serving .*listen=(\S+)`)
+	// gossipReceivedPattern matches the counter of received gossip datagrams.
+	gossipReceivedPattern = regexp.MustCompile(` gossip\.received=(\d+)`)
+	// warningPattern matches lines of level WARN or ERROR.
+	warningPattern = regexp.MustCompile(`^\S+ \S+ (WARN|ERROR) `)
 )
 
-// startSidecar starts the program and returns when GET /up is answered 200. The process ends with ctx at the latest.
+// startSidecar starts the sidecar program and returns when it answers GET /up with 200. The process is killed
+// when ctx ends.
 func startSidecar(ctx context.Context, program, configPath string) (*sidecarProcess, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+configPath)
 	log, err := cmd.StderrPipe()
 	if err != nil {
-		return nil, fmt.Errorf("sidecar: %w", err)
+		return nil, fmt.Errorf("start sidecar: %w", err)
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("sidecar: %w", err)
+		return nil, fmt.Errorf("start sidecar: %w", err)
 	}
-	s := &sidecarProcess{cmd: cmd, logClosed: make(chan struct{})}
-	listens := make(chan string, 1)
-	go s.readLog(log, listens)
+	s := &sidecarProcess{cmd: cmd, logEnded: make(chan struct{})}
+	listenAddress := make(chan string, 1)
+	go s.readLog(log, listenAddress)
 	select {
-	case s.address = <-listens:
-	case <-s.logClosed:
-		return nil, fmt.Errorf("sidecar: it ended before it served: %w", cmd.Wait())
+	case s.address = <-listenAddress:
+	case <-s.logEnded:
+		return nil, fmt.Errorf("start sidecar: exited before it logged its listen address: %w", cmd.Wait())
 	}
 	if _, err := fetch(ctx, http.MethodGet, "http://"+s.address+"/up", nil); err != nil {
-		return nil, errors.Join(fmt.Errorf("sidecar: %w", err), s.stop())
+		return nil, errors.Join(fmt.Errorf("start sidecar: %w", err), s.stop())
 	}
 	return s, nil
 }
 
-// readLog reads the log until the process ends, and sends the first address at which it listens.
-func (s *sidecarProcess) readLog(log io.Reader, listens chan<- string) {
-	defer close(s.logClosed)
+// readLog processes the log until it ends, and sends the first listen address that it finds.
+func (s *sidecarProcess) readLog(log io.Reader, listenAddress chan<- string) {
+	defer close(s.logEnded)
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
 		line := lines.Text()
-		if m := listenField.FindStringSubmatch(line); m != nil {
+		if match := listenPattern.FindStringSubmatch(line); match != nil {
 			select {
-			case listens <- m[1]:
+			case listenAddress <- match[1]:
 			default:
 			}
 		}
-		if m := gossipReceivedField.FindStringSubmatch(line); m != nil {
-			n, _ := strconv.ParseInt(m[1], 10, 64) // digits
+		if match := gossipReceivedPattern.FindStringSubmatch(line); match != nil {
+			n, _ := strconv.ParseInt(match[1], 10, 64) // matched digits
 			s.gossipReceived.Store(n)
 		}
-		if warnField.MatchString(line) {
+		if warningPattern.MatchString(line) {
 			s.warnings.Add(1)
 		}
 	}
 }
 
-// stop stops the sidecar gracefully: it waits until all connections to it are closed.
+// stop shuts the sidecar down gracefully and waits for its end. The sidecar ends when all connections to it
+// are closed.
 func (s *sidecarProcess) stop() error {
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		return fmt.Errorf("sidecar: stop: %w", err)
+		return fmt.Errorf("stop sidecar: %w", err)
 	}
-	<-s.logClosed
+	<-s.logEnded
 	if err := s.cmd.Wait(); err != nil {
-		return fmt.Errorf("sidecar: %w", err)
+		return fmt.Errorf("stop sidecar: %w", err)
 	}
 	return nil
 }
--- a/internal/sidecarbench/standin_discovery.go
+++ b/internal/sidecarbench/standin_discovery.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// listVersion is the version of the endpoint list, which never changes.
+// listVersion is the version of the endpoint list. The list never changes.
 const listVersion = 1
 
-// serversPerCell is how many servers of the endpoint list share a cell.
+// serversPerCell is the number of servers of the endpoint list in a cell.
 const serversPerCell = 8
 
-// endpointList encodes a list of n servers that use some addresses in turn. A sidecar has the state and the connections
-// of a server by its name, so a shared address makes no difference to it.
-func endpointList(n int, addresses []string, complete bool) []byte {
+// endpointList returns an endpoint update with n servers as JSON: a full one or a delta. The servers use the
+// addresses in round-robin order. They may share addresses, as the sidecar identifies a server's state and
+// connections by the server's name.
+func endpointList(n int, addresses []string, full bool) []byte {
 	var list strings.Builder
-	fmt.Fprintf(&list, `{"generation":%d,"reset":%t,"instances":[`, listVersion, complete)
+	fmt.Fprintf(&list, `{"generation":%d,"reset":%t,"instances":[`, listVersion, full)
 	for i := range n {
 		if i > 0 {
 			list.WriteByte(',')
@@ -32,25 +33,26 @@
 	return []byte(list.String())
 }
 
-// discoveryStandIn is the stand-in for discovery. As nothing ever changes, it answers a watch with an empty list after
-// the time for which it may wait.
+// discoveryStandIn is the stand-in for discovery. As the endpoint list never changes, it answers a watch with
+// an empty delta when the maximum wait of the watch has passed.
 type discoveryStandIn struct {
-	counters            *counters
-	complete, unchanged []byte
-	watched             chan struct{} // closed by the first watch
-	watchOnce           sync.Once
+	counters             *counters
+	fullList, emptyDelta []byte        // response bodies
+	watched              chan struct{} // closed by the first watch
+	watchOnce            sync.Once     // closes watched
 }
 
-// runDiscovery stands in for discovery. GET /watched of the control interface responds after the first watch has begun.
-func (s *standInServer) runDiscovery() ([]string, error) {
+// startDiscovery starts the stand-in for discovery. GET /watched of the control interface responds as soon as
+// the first watch has begun.
+func (s *standInRunner) startDiscovery() ([]string, error) {
 	if len(s.config.ServerAddresses) == 0 {
 		return nil, errors.New("no server addresses")
 	}
 	d := &discoveryStandIn{
-		counters:  s.counters,
-		complete:  endpointList(s.config.Servers, s.config.ServerAddresses, true),
-		unchanged: endpointList(0, s.config.ServerAddresses, false),
-		watched:   make(chan struct{}),
+		counters:   s.counters,
+		fullList:   endpointList(s.config.Servers, s.config.ServerAddresses, true),
+		emptyDelta: endpointList(0, s.config.ServerAddresses, false),
+		watched:    make(chan struct{}),
 	}
 	address, err := s.listen("127.0.0.1:0", d)
 	if err != nil {
@@ -66,12 +68,13 @@
 	return []string{address}, nil
 }
 
-// ServeHTTP responds with the complete list, or waits if the caller has its version.
+// ServeHTTP responds with the full list, or waits and responds with an empty delta if the caller has this
+// version.
 func (d *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.counters.requests.Add(1)
 	query := r.URL.Query()
 	if query.Get("index") != strconv.Itoa(listVersion) {
-		writeList(w, d.complete)
+		writeList(w, d.fullList)
 		return
 	}
 	waitMS, err := strconv.Atoi(query.Get("wait"))
@@ -79,20 +82,21 @@
 		http.Error(w, "wait: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	if waitMS > 1 { // a poll waits for 1 ms
+	if waitMS > 1 { // a longer wait is a watch: a poll asks for 1 ms
 		d.watchOnce.Do(func() { close(d.watched) })
 	}
 	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		writeList(w, d.unchanged)
+		writeList(w, d.emptyDelta)
 	case <-r.Context().Done():
 	}
 }
 
+// writeList responds with an endpoint update.
 func writeList(w http.ResponseWriter, list []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(list)))
-	_, _ = w.Write(list) // it fails if the sidecar has disconnected
+	_, _ = w.Write(list) // fails if the sidecar has disconnected
 }
--- a/internal/sidecarbench/standin_load.go
+++ b/internal/sidecarbench/standin_load.go
@@ -7,9 +7,9 @@
 	"os"
 )
 
-// runLoadGenerator stands in for the application: POST /load of the control interface sends a Load and responds with
-// its LoadResult.
-func (s *standInServer) runLoadGenerator() {
+// startLoadGenerator starts the stand-in for the application. POST /load of the control interface sends the
+// Load in its body and responds with the LoadResult.
+func (s *standInRunner) startLoadGenerator() {
 	client := newClient(s.config.MaxConnections)
 	s.control.HandleFunc("POST /load", func(w http.ResponseWriter, r *http.Request) {
 		var load Load
@@ -22,7 +22,7 @@
 	})
 }
 
-// runMeasured sends a load and measures the processor time of this process.
+// runMeasured sends a load and adds the CPU time of this process during the load to the result.
 func runMeasured(ctx context.Context, load Load, client *http.Client) (LoadResult, error) {
 	before, err := cpuTime(os.Getpid())
 	if err != nil {
--- a/internal/sidecarbench/standin_peers.go
+++ b/internal/sidecarbench/standin_peers.go
@@ -14,20 +14,22 @@
 	"cranehatch/policy"
 )
 
-// uncongested is the congestion in the gossip of peers without load: they answer in a fraction of the latency objective.
+// uncongested is the congestion in the gossip of peers whose latency is a small fraction of the latency
+// objective.
 const uncongested = 0.01
 
-// gossipLoad asks the stand-in for peers to send gossip to the sidecar.
+// gossipLoad is the gossip that the stand-in for peers has to send to the sidecar.
 type gossipLoad struct {
 	Target string  // gossip address of the sidecar
-	Rate   float64 // datagrams per second over all senders
-	Count  int     // datagrams
-	Seed   uint64  // of their times
+	Rate   float64 // datagrams per second, the sum over all senders
+	Count  int     // number of datagrams
+	Seed   uint64  // seed of the random intervals between datagrams
 }
 
-// runPeers stands in for the other sidecars. It counts the datagrams at the broadcast address, its first address, and
-// POST /gossip of the control interface sends a gossipLoad.
-func (s *standInServer) runPeers() ([]string, error) {
+// startPeers starts the stand-in for the other sidecars. The first address that it returns is the broadcast
+// address, at which it counts received datagrams. The others are the addresses of the senders. POST /gossip
+// of the control interface sends the gossipLoad in its body.
+func (s *standInRunner) startPeers() ([]string, error) {
 	broadcast, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
@@ -54,6 +56,7 @@
 	return addresses, nil
 }
 
+// listenUDP opens a UDP socket bound to an IPv4 address with port.
 func listenUDP(address string) (*net.UDPConn, error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -62,8 +65,8 @@
 	return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addrPort))
 }
 
-// countDatagrams counts what a socket receives, until it fails.
-func (s *standInServer) countDatagrams(conn *net.UDPConn) {
+// countDatagrams counts the datagrams and bytes that a socket receives. It returns when a read fails.
+func (s *standInRunner) countDatagrams(conn *net.UDPConn) {
 	buf := make([]byte, gossip.MaxDatagram+1)
 	for {
 		n, err := conn.Read(buf)
@@ -75,15 +78,15 @@
 	}
 }
 
-// run sends the datagrams, from the senders in turn. Their times are a Poisson process, which many senders with
-// independent timers add up to.
+// run sends the datagrams from the senders in round-robin order. The send times are a Poisson process, which
+// approximates many peers with independent timers.
 func (l gossipLoad) run(ctx context.Context, senders []*net.UDPConn, c *counters) error {
 	target, err := netip.ParseAddrPort(l.Target)
 	if err != nil {
 		return err
 	}
 	if len(senders) == 0 || l.Rate <= 0 {
-		return errors.New("no senders, or no rate")
+		return errors.New("send gossip: no senders, or rate not positive")
 	}
 	rng := rand.New(rand.NewPCG(l.Seed, 0))
 	offset := time.Duration(0)
--- a/internal/sidecarbench/standin_process.go
+++ b/internal/sidecarbench/standin_process.go
@@ -12,80 +12,81 @@
 	"os/exec"
 )
 
-// standIn is a running stand-in process.
+// standIn is a stand-in process, as seen by the process that started it.
 type standIn struct {
 	role      string
 	cmd       *exec.Cmd
-	stdin     io.Closer // the process ends when it is closed
+	stdin     io.Closer // closing it ends the process
 	addresses standInAddresses
 }
 
-// startStandIn starts a program as a stand-in and returns when it listens. The process ends with ctx at the latest.
+// startStandIn starts a program as a stand-in and returns when the stand-in listens. The process is killed
+// when ctx ends.
 func startStandIn(ctx context.Context, program, role string, config standInConfig) (*standIn, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), RoleVariable+"="+role)
 	cmd.Stderr = os.Stderr
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", role, err)
+		return nil, fmt.Errorf("start stand-in %s: %w", role, err)
 	}
 	stdout, err := cmd.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", role, err)
+		return nil, fmt.Errorf("start stand-in %s: %w", role, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("%s: %w", role, err)
+		return nil, fmt.Errorf("start stand-in %s: %w", role, err)
 	}
 	s := &standIn{role: role, cmd: cmd, stdin: stdin}
 	if err := json.NewEncoder(stdin).Encode(config); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: configuration: %w", role, err), s.stop())
+		return nil, errors.Join(fmt.Errorf("start stand-in %s: send configuration: %w", role, err), s.stop())
 	}
 	if err := json.NewDecoder(stdout).Decode(&s.addresses); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: addresses: %w", role, err), s.stop())
+		return nil, errors.Join(fmt.Errorf("start stand-in %s: receive addresses: %w", role, err), s.stop())
 	}
 	return s, nil
 }
 
-// stop ends the process.
+// stop ends the process and waits for its end.
 func (s *standIn) stop() error {
-	_ = s.stdin.Close() // fails only if it is closed already
+	_ = s.stdin.Close() // fails only if stdin is already closed
 	if err := s.cmd.Wait(); err != nil {
-		return fmt.Errorf("%s: %w", s.role, err)
+		return fmt.Errorf("stop stand-in %s: %w", s.role, err)
 	}
 	return nil
 }
 
 func (s *standIn) pid() int { return s.cmd.Process.Pid }
 
-// call calls the control interface of the stand-in and decodes the response as JSON. It is a POST of request as JSON, or
-// a GET if request is nil.
+// call calls the control interface of the stand-in and decodes the JSON response into response. It sends a
+// POST with request as JSON, or a GET if request is nil.
 func (s *standIn) call(ctx context.Context, path string, request, response any) error {
 	method, body := http.MethodGet, io.Reader(nil)
 	if request != nil {
 		raw, err := json.Marshal(request)
 		if err != nil {
-			return fmt.Errorf("%s %s: %w", s.role, path, err)
+			return fmt.Errorf("call stand-in %s: %s: %w", s.role, path, err)
 		}
 		method, body = http.MethodPost, bytes.NewReader(raw)
 	}
 	raw, err := fetch(ctx, method, "http://"+s.addresses.Control+path, body)
 	if err != nil {
-		return fmt.Errorf("%s %s: %w", s.role, path, err)
+		return fmt.Errorf("call stand-in %s: %s: %w", s.role, path, err)
 	}
 	if err := json.Unmarshal(raw, response); err != nil {
-		return fmt.Errorf("%s %s: %w", s.role, path, err)
+		return fmt.Errorf("call stand-in %s: %s: %w", s.role, path, err)
 	}
 	return nil
 }
 
-// counts returns what the stand-in has counted since its start.
+// counts returns the counters of the stand-in since its start.
 func (s *standIn) counts(ctx context.Context) (c Counts, err error) {
 	err = s.call(ctx, "/counts", nil, &c)
 	return c, err
 }
 
-// fetch sends a request on a connection of its own, which it closes, and returns the body of the response. A response
-// other than 200 is an error.
+// fetch sends a request on a new connection, which is closed afterwards, and returns the body of the
+// response. A status other than 200 is an error.
 func fetch(ctx context.Context, method, url string, body io.Reader) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
@@ -99,7 +100,7 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err == nil && res.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %s: %.200s", res.Status, raw)
+		err = fmt.Errorf("unexpected status %s: %.200s", res.Status, raw)
 	}
 	return raw, err
 }
--- a/internal/sidecarbench/standin_servers.go
+++ b/internal/sidecarbench/standin_servers.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// runServers stands in for servers. Each responds with a body of responseBodyBytes after ServiceTime; if that is 0, the
-// latency of a request is that of its transport.
-func (s *standInServer) runServers() ([]string, error) {
+// startServers starts the stand-ins for servers. Each responds with a body of responseBodyBytes after
+// ServiceTime. With a ServiceTime of 0, the latency of a request is that of its transport.
+func (s *standInRunner) startServers() ([]string, error) {
 	var addresses []string
 	for _, address := range s.config.Addresses {
 		bound, err := s.listen(address, s.serverHandler())
@@ -20,7 +20,8 @@
 	return addresses, nil
 }
 
-func (s *standInServer) serverHandler() http.Handler {
+// serverHandler returns the handler of a server. Only requests with a request ID are counted.
+func (s *standInRunner) serverHandler() http.Handler {
 	body := []byte(strings.Repeat("x", responseBodyBytes))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-Id") != "" {
@@ -31,6 +32,6 @@
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
-		_, _ = w.Write(body) // it fails if the client has disconnected
+		_, _ = w.Write(body) // fails if the client has disconnected
 	})
 }
--- a/internal/sidecarbench/tables_test.go
+++ b/internal/sidecarbench/tables_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// newBlock is a block of 100 requests with the same latency.
+// newBlock returns a block of 100 requests with the same latency.
 func newBlock(t *testing.T, latencyMicroseconds int64, sidecarCPU time.Duration) Block {
 	t.Helper()
 	h := newHistogram()
@@ -19,39 +19,42 @@
 	return Block{Result: LoadResult{Requests: 100, OK: 100, Latency: h.Export(), ScheduleDelay: h.Export()}, SidecarCPU: sidecarCPU}
 }
 
-// checkSamples fails the test unless samples have these values, to the three digits of a histogram.
+// checkSamples fails the test unless the samples equal the wanted values within the precision of a histogram,
+// which is three significant digits.
 func checkSamples(t *testing.T, name string, got samples, want ...float64) {
 	t.Helper()
 	for i := range want {
 		if len(got) != len(want) || math.Abs(got[i]-want[i]) > 0.002*want[i]+0.002 {
-			t.Errorf("%s: %v, want %v", name, []float64(got), want)
+			t.Errorf("%s = %v, want %v", name, []float64(got), want)
 			return
 		}
 	}
 }
 
-// checkContains fails the test if a table lacks one of these parts.
+// checkContains fails the test unless a table contains all parts.
 func checkContains(t *testing.T, table string, parts ...string) {
 	t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(table, part) {
-			t.Errorf("no %q in\n%s", part, table)
+			t.Errorf("table lacks %q:\n%s", part, table)
 		}
 	}
 }
 
-// What the sidecar adds is the difference within each pair of blocks, not that of the means.
+// The overhead of the sidecar has to be the difference within each pair of blocks, not the difference of the
+// means.
 func TestTablesComparePairs(t *testing.T) {
 	c := RequestCost{FleetSize: FleetSize{Peers: 16, Servers: 16}, Rate: 373, UserCPU: time.Second, SystemCPU: time.Second,
 		Direct:  []Block{newBlock(t, 100, 0), newBlock(t, 1100, 0)},
 		Proxied: []Block{newBlock(t, 300, 10*time.Millisecond), newBlock(t, 1500, 20*time.Millisecond)}}
-	checkSamples(t, "added median, ms", c.added(latencyQuantile(50)), 0.2, 0.4)
-	sidecar := perRequest(func(b Block) time.Duration { return b.SidecarCPU })
+	checkSamples(t, "added median, ms", c.overhead(latencyPercentile(50)), 0.2, 0.4)
+	sidecar := cpuPerRequest(func(b Block) time.Duration { return b.SidecarCPU })
 	checkSamples(t, "sidecar, us/request", sampleBlocks(c.Proxied, sidecar), 100, 200)
 	checkContains(t, RequestTable([]RequestCost{c}), "| 16 | 16 | 373 | sidecar | 200 | 0 |", "| 150 (sd 71; 100 to 200) |")
 }
 
-// The cost of a datagram that was not dropped is what the sidecar used beyond a silent interval of the same length.
+// The CPU time per datagram has to leave out dropped datagrams and the CPU time of a silent interval of the
+// same length.
 func TestCPUPerDatagram(t *testing.T) {
 	c := GossipCost{
 		Receiving: []Interval{{Duration: 2 * time.Second, CPU: 5 * time.Millisecond, Datagrams: 1500, Dropped: 500}},
@@ -60,7 +63,7 @@
 	checkSamples(t, "us/datagram", c.cpuPerDatagram(), 3)
 }
 
-// The costs of a request and of a datagram are what the sidecar used beyond an idle interval.
+// The CPU times per request and per datagram have to leave out the CPU time of an idle interval.
 func TestCPUBreakdownTable(t *testing.T) {
 	intervals := func(cpu time.Duration) []Interval {
 		return []Interval{{Duration: 2 * time.Second, CPU: cpu, Datagrams: 100, Requests: 10, OK: 9}}
--- a/internal/sidecarbench/testbed.go
+++ b/internal/sidecarbench/testbed.go
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// testbed is a running sidecar with its stand-ins.
+// testbed is a running sidecar with the stand-ins around it.
 type testbed struct {
 	size                     FleetSize
-	senders                  int // peers with a socket
-	gossipAddress            string
+	senders                  int    // number of peers with a socket
+	gossipAddress            string // where the sidecar receives gossip
 	server, discovery, peers *standIn
 	sidecar                  *sidecarProcess
 	startCost                StartCost
 }
 
-// StartCost is what the start of a sidecar cost.
+// StartCost is the cost of a sidecar's start.
 type StartCost struct {
 	FleetSize
-	ConfigBytes int
-	ReadyCPU    time.Duration // processor time until GET /up was answered 200
-	WatchCPU    time.Duration // processor time until it had the endpoint list and watched it for changes
-	ReadyMemory Memory
-	WatchMemory Memory
-	ListBytes   int64 // that discovery sent until then
+	ConfigBytes int           // size of the configuration file
+	ReadyCPU    time.Duration // CPU time until GET /up was answered 200
+	WatchCPU    time.Duration // CPU time until the sidecar had its endpoint list and watched it for changes
+	ReadyMemory Memory        // memory when GET /up was answered 200
+	WatchMemory Memory        // memory when the sidecar had its endpoint list and watched it for changes
+	ListBytes   int64         // bytes that discovery sent until the sidecar watched the endpoint list
 }
 
-// newTestbed starts a sidecar for a fleet of that size and waits until it has its endpoint list. At most senders of its
-// peers have a socket; its servers take serviceTime for a request.
+// newTestbed starts a sidecar for a fleet of the given size and waits until the sidecar has its endpoint
+// list. senders is the maximum number of peers with a socket. serviceTime is the time in which a server
+// processes a request.
 func (b *Bench) newTestbed(ctx context.Context, size FleetSize, senders int, serviceTime time.Duration) (*testbed, error) {
 	tb := &testbed{size: size, senders: max(0, min(senders, size.Peers-1))}
 	if err := tb.start(ctx, b, serviceTime); err != nil {
@@ -42,7 +43,8 @@
 	return tb, nil
 }
 
-// start starts all processes. After an error, close stops those that run.
+// start starts all processes and measures the start of the sidecar. After an error, the caller has to call
+// close to stop the processes that are running.
 func (tb *testbed) start(ctx context.Context, b *Bench, serviceTime time.Duration) error {
 	if err := tb.startStandIns(ctx, b.StandIn, serviceTime); err != nil {
 		return err
@@ -79,12 +81,13 @@
 	return err
 }
 
-// writeConfig writes the configuration of the sidecar, and returns the absolute path and the size in bytes.
+// writeConfig writes the configuration file of the sidecar. It returns its absolute path and its size in
+// bytes.
 func (tb *testbed) writeConfig(b *Bench) (path string, size int, err error) {
 	if tb.gossipAddress, err = freeUDPAddress(); err != nil {
 		return "", 0, err
 	}
-	raw, err := sidecarConfig(tb.size, environment{
+	raw, err := sidecarConfig(tb.size, configParams{
 		gossipAddress:      tb.gossipAddress,
 		broadcastAddress:   tb.peers.addresses.Service[0],
 		peerAddresses:      tb.peers.addresses.Service[1:],
@@ -107,8 +110,8 @@
 	return path, len(raw), err
 }
 
-// freeUDPAddress returns a free UDP address with an IP address of its own, where no other process gets the port by
-// asking for any free one.
+// freeUDPAddress returns a UDP address that is free. Its IP address is a random loopback address, so that the
+// kernel is unlikely to assign the port to another process before the sidecar binds it.
 func freeUDPAddress() (string, error) {
 	ip := net.IPv4(127, byte(64+rand.N(64)), byte(rand.N(256)), byte(1+rand.N(254)))
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip})
@@ -118,18 +121,20 @@
 	return conn.LocalAddr().String(), conn.Close()
 }
 
-// measureStart measures what the sidecar, which is ready, has used until now and until it watches its endpoint list.
+// measureStart measures the start of the sidecar, which has to be ready already: the usage until now, and the
+// usage until the sidecar watches its endpoint list.
 func (tb *testbed) measureStart(ctx context.Context, timeout time.Duration) (err error) {
 	cost := &tb.startCost
 	if cost.ReadyCPU, cost.ReadyMemory, err = tb.sidecarUsage(); err != nil {
 		return err
 	}
-	var seen Counts
-	if err = tb.discovery.call(ctx, "/watched", nil, &seen); err != nil {
+	var discoveryCounts Counts
+	if err = tb.discovery.call(ctx, "/watched", nil, &discoveryCounts); err != nil {
 		return err
 	}
-	cost.ListBytes = seen.BytesSent
-	// As the sidecar watches, the list is in its event queue. It handles a request after the list.
+	cost.ListBytes = discoveryCounts.BytesSent
+	// When the sidecar watches, the endpoint list is in the queue of its event loop. The loop handles a
+	// request that arrives now after the list.
 	if err = tb.sendFirstRequest(ctx, timeout); err != nil {
 		return err
 	}
@@ -137,7 +142,8 @@
 	return err
 }
 
-// sendFirstRequest sends one request through the sidecar. It returns an error if the response is not the right one.
+// sendFirstRequest sends one request through the sidecar. It returns an error unless the request is answered
+// 200 with a complete body.
 func (tb *testbed) sendFirstRequest(ctx context.Context, timeout time.Duration) error {
 	load := Load{Targets: []string{tb.sidecar.address}, Rate: 1000, Requests: 1, MaxInFlight: 1, Timeout: timeout, IDPrefix: "first"}
 	client := newClient(1)
@@ -147,12 +153,12 @@
 		return err
 	}
 	if result.OK != 1 {
-		return fmt.Errorf("the first request: %s", result.FirstError)
+		return fmt.Errorf("send first request: %s", result.FirstError)
 	}
 	return nil
 }
 
-// sidecarUsage is the processor time that the sidecar has used, and its memory.
+// sidecarUsage returns the CPU time that the sidecar has used since its start, and its current memory.
 func (tb *testbed) sidecarUsage() (time.Duration, Memory, error) {
 	cpu, err := cpuTime(tb.sidecar.pid())
 	if err != nil {
@@ -162,7 +168,7 @@
 	return cpu, memory, err
 }
 
-// close stops all processes that were started.
+// close stops all processes that were started, the sidecar first.
 func (tb *testbed) close() (err error) {
 	if tb.sidecar != nil {
 		err = tb.sidecar.stop()
