--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// benchRate is the requests per second at each balancer, as in the largest fleet that the design is for.
+// benchRate is the number of requests per second at each balancer, as in the largest fleet that the design supports.
 const benchRate = 373
 
-// BenchmarkRequest measures what the decisions for a request take (its start and its end, and its part of the timers)
-// over the number of peers and of endpoints ("servers"): it must be the same in a fleet of any size. Gossip comes
-// meanwhile at the rate at which peers broadcast, and is measured by itself: ns/news is for one message ("news"), and
-// news/op is the messages for each request. Records of earlier measurements use these names and units.
+// BenchmarkRequest measures the time that the decisions for a request take, from its arrival to its outcome and including
+// its share of the timers, for different numbers of peers and of endpoints ("servers"). The time must not depend on the
+// size of the fleet. Gossip arrives at the rate at which peers broadcast and is measured separately: ns/news is the time
+// for one message ("news"), and news/op is the number of messages per request. Earlier results use these names and units.
 func BenchmarkRequest(b *testing.B) {
 	for _, peers := range []int{16, 300, 1000, 11000} {
 		for _, endpoints := range []int{16, 200, 11000} {
@@ -21,7 +21,8 @@
 	}
 }
 
-// BenchmarkList measures a full update of the endpoint list, a repeated one, and a delta update of one entry.
+// BenchmarkList measures a first full update of the endpoint list, including the start of a Balancer, a full update
+// without changes, and a delta update with one entry.
 func BenchmarkList(b *testing.B) {
 	for _, endpoints := range []int{16, 200, 11000} {
 		list := benchEndpoints(endpoints)
@@ -32,29 +33,30 @@
 			}
 		})
 		b.Run(fmt.Sprintf("again/servers=%d", endpoints), func(b *testing.B) {
-			x, _ := start(b, benchConfig(16), list)
+			balancer, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
-				x.UpdateEndpoints(0, FullUpdate, list)
+				balancer.UpdateEndpoints(0, FullUpdate, list)
 			}
 		})
 		b.Run(fmt.Sprintf("delta/servers=%d", endpoints), func(b *testing.B) {
-			x, _ := start(b, benchConfig(16), list)
+			balancer, _ := start(b, benchConfig(16), list)
 			b.ReportAllocs()
 			for b.Loop() {
-				x.UpdateEndpoints(0, DeltaUpdate, list[:1])
+				balancer.UpdateEndpoints(0, DeltaUpdate, list[:1])
 			}
 		})
 	}
 }
 
+// benchConfig returns the configuration of one of the given number of balancers.
 func benchConfig(peers int) Config {
 	cfg := largeFleetConfig(peers)
 	cfg.Tenants = []Tenant{{Weight: 1, Quota: benchRate * float64(peers)}}
 	return cfg
 }
 
-// benchEndpoints returns a list in no order of ids, like that of discovery.
+// benchEndpoints returns an endpoint list that is not ordered by ID, like the lists of discovery.
 func benchEndpoints(endpoints int) (list []Endpoint) {
 	for i := range endpoints {
 		list = append(list, Endpoint{ID: EndpointID(0x9e3779b97f4a7c15 * uint64(i+1)), Zone: i % 2, State: Ready, Weight: 1})
@@ -62,97 +64,97 @@
 	return list
 }
 
-// silentHost does nothing, so that only the decisions are measured.
-type silentHost struct{ fakeHost }
+// noopHost does nothing, so that only the decisions are measured.
+type noopHost struct{ fakeHost }
 
-func (*silentHost) Send(RequestID, EndpointID, time.Duration, time.Duration) {}
-func (*silentHost) Reject(RequestID, time.Duration)                          {}
-func (*silentHost) Fail(RequestID)                                           {}
-func (*silentHost) Cancel(RequestID, int)                                    {}
-func (*silentHost) SetTimer(time.Duration)                                   {}
-func (*silentHost) WatchEndpoints()                                          {}
-func (*silentHost) Broadcast(GossipMessage)                                  {}
+func (*noopHost) Send(RequestID, EndpointID, time.Duration, time.Duration) {}
+func (*noopHost) Reject(RequestID, time.Duration)                          {}
+func (*noopHost) Fail(RequestID)                                           {}
+func (*noopHost) Cancel(RequestID, int)                                    {}
+func (*noopHost) SetTimer(time.Duration)                                   {}
+func (*noopHost) WatchEndpoints()                                          {}
+func (*noopHost) Broadcast(GossipMessage)                                  {}
 
-// requestBenchmark plays requests and gossip at a fixed rate.
+// requestBenchmark passes requests and gossip messages to a Balancer at fixed rates.
 type requestBenchmark struct {
 	*Balancer
-	now          time.Duration
-	latest       RequestID
-	finished     RequestID
-	nextTimer    time.Duration
-	peers        int
-	nextPeer     int
-	messagesOwed float64 // owed by the peers
-	messages     int     // received
+	now         time.Duration
+	latestID    RequestID
+	finishedID  RequestID
+	nextTimer   time.Duration
+	peers       int
+	nextPeer    int
+	messagesDue float64 // due from the peers; fractional
+	messages    int     // received messages
 }
 
 const (
-	benchInterval = time.Second / benchRate // between requests
-	benchLatency  = 20 * ms
+	benchInterval = time.Second / benchRate // time between two requests
+	benchLatency  = 20 * ms                 // time from a request to its outcome
 )
 
 func newRequestBenchmark(b *testing.B, peers, endpoints int) *requestBenchmark {
 	b.Helper()
-	balancer, err := New(benchConfig(peers), 1, new(silentHost))
+	balancer, err := New(benchConfig(peers), 1, new(noopHost))
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &requestBenchmark{Balancer: balancer, now: time.Second, peers: peers, nextPeer: 1}
-	x.Start(x.now)
-	x.UpdateEndpoints(x.now, FullUpdate, benchEndpoints(endpoints))
-	return x
+	bench := &requestBenchmark{Balancer: balancer, now: time.Second, peers: peers, nextPeer: 1}
+	bench.Start(bench.now)
+	bench.UpdateEndpoints(bench.now, FullUpdate, benchEndpoints(endpoints))
+	return bench
 }
 
-// receiveMessages passes the gossip that comes in an interval.
-func (x *requestBenchmark) receiveMessages() {
-	perBalancer := float64(benchInterval) / float64(x.objective.times(broadcastInterval))
-	for x.messagesOwed += float64(x.peers-1) * perBalancer; x.messagesOwed >= 1; x.messagesOwed-- {
-		x.ReceiveGossip(x.now, x.nextPeer,
-			GossipMessage{SentAt: x.now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
-		x.nextPeer = x.nextPeer%(x.peers-1) + 1
-		x.messages++
+// receiveMessages passes the gossip messages of one interval.
+func (r *requestBenchmark) receiveMessages() {
+	perBalancer := float64(benchInterval) / float64(r.objective.times(broadcastInterval))
+	for r.messagesDue += float64(r.peers-1) * perBalancer; r.messagesDue >= 1; r.messagesDue-- {
+		r.ReceiveGossip(r.now, r.nextPeer,
+			GossipMessage{SentAt: r.now - ms, RequestRate: benchRate, Responses: benchRate / 2, Congestion: 0.0016})
+		r.nextPeer = r.nextPeer%(r.peers-1) + 1
+		r.messages++
 	}
 }
 
-// runRequest passes a request, the outcomes of earlier ones, and a timer when it is due.
-func (x *requestBenchmark) runRequest() {
-	x.latest++
-	x.Request(x.now, Request{ID: x.latest, Class: int(x.latest % 2), Timeout: time.Second})
-	for ; x.finished+RequestID(benchLatency/benchInterval) < x.latest; x.finished++ {
-		x.Outcome(x.now, Outcome{RequestID: x.finished + 1, Result: Succeeded, Answered: true})
+// runRequest passes a request, the outcomes of earlier requests that are due, and the timer if it is due.
+func (r *requestBenchmark) runRequest() {
+	r.latestID++
+	r.Request(r.now, Request{ID: r.latestID, Class: int(r.latestID % 2), Timeout: time.Second})
+	for ; r.finishedID+RequestID(benchLatency/benchInterval) < r.latestID; r.finishedID++ {
+		r.Outcome(r.now, Outcome{RequestID: r.finishedID + 1, Result: Succeeded, Answered: true})
 	}
-	if x.now >= x.nextTimer {
-		x.TimerFired(x.now)
-		x.nextTimer = x.now + activeTimerInterval
+	if r.now >= r.nextTimer {
+		r.TimerFired(r.now)
+		r.nextTimer = r.now + activeTimerInterval
 	}
 }
 
 func benchRequests(b *testing.B, peers, endpoints int) {
-	x := newRequestBenchmark(b, peers, endpoints)
-	for range 20 * benchRate { // until its rate is known, and as many peers as can have sent a message
-		x.now += benchInterval
-		x.receiveMessages()
-		x.runRequest()
+	bench := newRequestBenchmark(b, peers, endpoints)
+	for range 20 * benchRate { // until the request rate is known and as many peers as possible have sent a message
+		bench.now += benchInterval
+		bench.receiveMessages()
+		bench.runRequest()
 	}
-	x.messages = 0
-	before := x.Counters()
+	bench.messages = 0
+	before := bench.Counters()
 	var requestTime, gossipTime time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
-		x.now += benchInterval
-		begun := time.Now()
-		x.receiveMessages()
+		bench.now += benchInterval
+		start := time.Now()
+		bench.receiveMessages()
 		received := time.Now()
-		x.runRequest()
+		bench.runRequest()
 		requestTime += time.Since(received)
-		gossipTime += received.Sub(begun)
+		gossipTime += received.Sub(start)
 	}
-	after := x.Counters()
+	after := bench.Counters()
 	rejected, limited := after.Rejected != before.Rejected, after.ConcurrencyLimited != before.ConcurrencyLimited
 	if rejected || limited || after.RoundRobinSends == before.RoundRobinSends {
-		b.Fatalf("not the ordinary path: %+v, %+v before", after, before)
+		b.Fatalf("requests rejected or limited, or none sent in round-robin order: counters %+v, before %+v", after, before)
 	}
 	b.ReportMetric(float64(requestTime.Nanoseconds())/float64(b.N), "ns/request")
-	b.ReportMetric(float64(gossipTime.Nanoseconds())/max(1, float64(x.messages)), "ns/news")
-	b.ReportMetric(float64(x.messages)/float64(b.N), "news/op")
+	b.ReportMetric(float64(gossipTime.Nanoseconds())/max(1, float64(bench.messages)), "ns/news")
+	b.ReportMetric(float64(bench.messages)/float64(b.N), "news/op")
 }
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -167,9 +167,9 @@
 }
 
 func TestBulkheadFull(t *testing.T) {
-	for used, want := range []bool{false, false, true, true} {
-		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
-			h := bulkhead{slots: 2, slotsInUse: used}
+	for slotsInUse, want := range []bool{false, false, true, true} {
+		t.Run(fmt.Sprintf("%d of 2 slots in use", slotsInUse), func(t *testing.T) {
+			h := bulkhead{slots: 2, slotsInUse: slotsInUse}
 			if got := h.full(); got != want {
 				t.Errorf("full = %v, want %v", got, want)
 			}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"cranehatch/policy"
 )
 
-// sidecar is the program that embeds a Balancer: it carries out its decisions.
+// sidecar is the program that embeds a Balancer and carries out its decisions.
 type sidecar struct{}
 
 func (sidecar) Send(id policy.RequestID, to policy.EndpointID, timeout, _ time.Duration) {
@@ -18,7 +18,7 @@
 }
 func (sidecar) Fail(id policy.RequestID)                { fmt.Printf("fail request %d\n", id) }
 func (sidecar) Cancel(id policy.RequestID, attempt int) {}
-func (sidecar) SetTimer(d time.Duration)                {} // call Balancer.TimerFired after d
+func (sidecar) SetTimer(d time.Duration)                {} // a program calls Balancer.TimerFired after d
 func (sidecar) CloseIdle(to policy.EndpointID)          {}
 func (sidecar) HealthCheck(to policy.EndpointID)        {}
 func (sidecar) Broadcast(m policy.GossipMessage)        {}
@@ -41,10 +41,10 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since any moment that the program chooses
+	now := time.Duration(0) // since a fixed moment that the program chooses
 	b.Start(now)
 	b.UpdateEndpoints(now, policy.FullUpdate, []policy.Endpoint{{ID: 7, State: policy.Ready, Weight: 1}})
-	for id := range policy.RequestID(3) { // one slot and a queue of one: the third is rejected
+	for id := range policy.RequestID(3) { // one slot and a queue of one, so the third request is rejected
 		b.Request(now, policy.Request{ID: id, Timeout: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,8 +10,9 @@
 
 const ms = time.Millisecond
 
-// fleetConfig is a fleet with the Balancer settings of internal/fleetsim's own tests, rate requests per second over all
-// sidecars, and servers of one core in two zones. Attempts have no network delay and the endpoint list never changes.
+// fleetConfig returns the configuration of a fleet with the Balancer settings of internal/fleetsim's own tests, and with
+// servers of one core in two zones. rate is in requests per second over all sidecars. Attempts have no network delay, and
+// the endpoint list never changes.
 func fleetConfig(seed uint64, sidecars, servers int, rate float64) fleetsim.Config {
 	class := func(priorityWeight float64, idempotency policy.Idempotency) policy.Class {
 		return policy.Class{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: priorityWeight, Idempotency: idempotency, DedupWindow: 6 * time.Second}
@@ -37,13 +38,14 @@
 	highPriority
 )
 
-// spreadEndpointID gives consecutive servers, which are in different zones, ids evenly spread over all ids.
+// spreadEndpointID returns the ID of a server. The IDs of consecutive servers, which are in different zones, are evenly
+// spread over all IDs.
 func spreadEndpointID(server int) policy.EndpointID {
 	return policy.EndpointID(0x9e3779b97f4a7c15 * uint64(server+1))
 }
 
-// runSimulation runs a simulation for a warm-up and then for d, which alone is counted. It fails the test for
-// invariant violations.
+// runSimulation runs a simulation for a warm-up, which is not counted, and then for d. It reports an error if invariants
+// are violated.
 func runSimulation(t *testing.T, cfg fleetsim.Config, warmUp, d time.Duration) *fleetsim.Simulation {
 	t.Helper()
 	sim, err := fleetsim.New(cfg)
@@ -54,25 +56,25 @@
 	sim.ResetCounts()
 	sim.Run(d)
 	if violations := sim.Violations(); violations.Total() > 0 {
-		t.Errorf("violations %v: %q", violations.Counts, violations.Details)
+		t.Errorf("invariant violations %v: %q, want none", violations.Counts, violations.Details)
 	}
 	return sim
 }
 
-// overloadRate is about 1.5 times what 60 servers of fleetConfig can execute, in requests per second.
+// overloadRate, in requests per second, is about 1.5 times what 60 servers of fleetConfig can serve.
 const overloadRate = 2700
 
 // Each of 80 sidecars limits its own requests in flight at a server. If the limits did not account for the other
-// sidecars, a few requests of each would add up to more than a server can execute, and overload it.
+// sidecars, a few requests of each would add up to more than a server can serve, and overload it.
 func TestFleetDoesNotOverloadServers(t *testing.T) {
 	sim := runSimulation(t, fleetConfig(1, 80, 60, overloadRate), 4*time.Second, 6*time.Second)
 	if sim.MeanInFlight() > 3.5 {
-		t.Errorf("a server had %.1f requests in flight on average, want at most 3.5 of the 6 that overload it", sim.MeanInFlight())
+		t.Errorf("mean requests in flight at a server = %.1f, want at most 3.5 of the 6 that overload it", sim.MeanInFlight())
 	}
 }
 
-// A fleet with too few servers has to shed requests. If it shed them by the order of their arrival, requests of high
-// priority would be lost while others are served.
+// A fleet with too few servers has to shed requests. If it shed them in order of arrival, requests of high priority would
+// be rejected while others are served.
 func TestFleetShedsLowPriorityFirst(t *testing.T) {
 	sim := runSimulation(t, fleetConfig(1, 80, 60, overloadRate), 4*time.Second, 6*time.Second)
 	goodput := func(class int) float64 {
@@ -80,12 +82,13 @@
 	}
 	low, high := goodput(lowPriority), goodput(highPriority)
 	if high < 0.65 || low < 0.1 {
-		t.Errorf("goodput of high priority %.2f and of low priority %.2f, want at least 0.65 and 0.1", high, low)
+		t.Errorf("goodput of high priority = %.2f, of low priority = %.2f, want at least 0.65 and 0.1", high, low)
 	}
 }
 
-// Each of 80 sidecars sees few responses, and so learns late how congested the servers are. With gossip it learns from
-// all: it sheds less while servers have capacity, and serves more requests of high priority when they have not.
+// Each of 80 sidecars sees few responses, so by its own observations it detects congestion of the servers late. With
+// gossip, it also uses the observations of all others: it sheds less while the servers have capacity, and serves more
+// requests of high priority while they are short of it.
 func TestGossipRaisesGoodput(t *testing.T) {
 	goodput := func(rate float64, gossip bool) (mean float64) {
 		for seed := range uint64(4) {
@@ -97,7 +100,7 @@
 	}
 	for _, rate := range []float64{1600, 2200} {
 		if without, with := goodput(rate, false), goodput(rate, true); with < without+0.01 {
-			t.Errorf("%v requests a second: goodput %.3f with gossip, %.3f without", rate, with, without)
+			t.Errorf("at %v requests per second: goodput = %.3f with gossip and %.3f without, want at least 0.01 more with gossip", rate, with, without)
 		}
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// goldenHost records every action of a Balancer but its health events, as numbers and with its time, so that a rename
-// changes nothing in the record.
+// goldenHost records every action of a Balancer except its health events, with the time of the action. It records
+// numbers only, so that renaming something does not change the record.
 type goldenHost struct {
 	now      time.Duration
 	lines    []string
-	open     []goldenAttempt
-	attempts map[RequestID]int // sent so far
+	inFlight []goldenAttempt
+	attempts map[RequestID]int // attempts sent so far for each request
 }
 
 // goldenAttempt is an attempt in flight.
@@ -35,7 +35,7 @@
 
 func (h *goldenHost) Send(id RequestID, to EndpointID, timeout, writeTimeout time.Duration) {
 	h.record(1, uint64(id), uint64(to), int64(timeout), int64(writeTimeout))
-	h.open = append(h.open, goldenAttempt{id, h.attempts[id], to})
+	h.inFlight = append(h.inFlight, goldenAttempt{id, h.attempts[id], to})
 	h.attempts[id]++
 }
 
@@ -58,185 +58,187 @@
 	h.record(9, int64(m.SentAt), m.RequestRate, m.Responses, m.Congestion)
 }
 
-// goldenRun plays the random events of one seed.
+// goldenRun generates the random events of one seed.
 type goldenRun struct {
-	rng        *rand.Rand
-	cfg        Config
-	host       *goldenHost
-	b          *Balancer
-	next       RequestID
-	requestIDs []RequestID
-	reports    bool // health checks and outcomes bring load reports
-	slow       int  // how much slower answers are for now
+	rng         *rand.Rand
+	cfg         Config
+	host        *goldenHost
+	balancer    *Balancer
+	latestID    RequestID
+	requestIDs  []RequestID
+	reportsLoad bool // health checks return load reports
+	slowdown    int  // if above 0, fewer attempts end, each chosen among the oldest slowdown+1
 }
 
-func (w *goldenRun) oneIn(n int) bool { return w.rng.IntN(n) == 0 }
+func (g *goldenRun) oneIn(n int) bool { return g.rng.IntN(n) == 0 }
 
-func pickOne[T any](w *goldenRun, values ...T) T { return values[w.rng.IntN(len(values))] }
+func pickOne[T any](g *goldenRun, values ...T) T { return values[g.rng.IntN(len(values))] }
 
-// randomConfig draws every setting that changes decisions.
-func (w *goldenRun) randomConfig() Config {
+// randomConfig draws every setting that affects decisions.
+func (g *goldenRun) randomConfig() Config {
 	cfg := Config{
-		Balancers: pickOne(w, 1, 2, 50, 300), Zone: w.rng.IntN(2),
-		Slots: pickOne(w, 0, 0, 0, 6, 40), MaxAttempts: 1 + w.rng.IntN(4),
-		CanCancel: w.oneIn(2), CanHealthCheck: !w.oneIn(4), CanGossip: !w.oneIn(3),
-		MaxRetryAfter: pickOne(w, 100*ms, time.Second), ClientsMarkRetries: w.oneIn(2),
-		OrderingDelay: pickOne(w, 0, 50*ms), IdleCloseTimeout: pickOne(w, 0, 100*ms), EventInterval: pickOne(w, 0, 5*ms, 20*ms),
-		PollsEndpoints: w.oneIn(2), PollInterval: pickOne(w, 0, 400*ms, 3*time.Second),
-		SlowStartFraction: pickOne(w, 0.05, 0.3), SlowStartDuration: pickOne(w, 0, 2*time.Second, 8*time.Second),
-		OverloadFactor: pickOne(w, 0, 1.5, 3), CrossZoneCost: pickOne(w, 0, 0.02),
-		ReportFields: pickOne(w, 0, HasInFlight, HasInFlight|HasUtilization|HasQueued, HasInFlight|HasServiceTime|HasThroughput|HasErrorRate),
+		Balancers: pickOne(g, 1, 2, 50, 300), Zone: g.rng.IntN(2),
+		Slots: pickOne(g, 0, 0, 0, 6, 40), MaxAttempts: 1 + g.rng.IntN(4),
+		CanCancel: g.oneIn(2), CanHealthCheck: !g.oneIn(4), CanGossip: !g.oneIn(3),
+		MaxRetryAfter: pickOne(g, 100*ms, time.Second), ClientsMarkRetries: g.oneIn(2),
+		OrderingDelay: pickOne(g, 0, 50*ms), IdleCloseTimeout: pickOne(g, 0, 100*ms), EventInterval: pickOne(g, 0, 5*ms, 20*ms),
+		PollsEndpoints: g.oneIn(2), PollInterval: pickOne(g, 0, 400*ms, 3*time.Second),
+		SlowStartFraction: pickOne(g, 0.05, 0.3), SlowStartDuration: pickOne(g, 0, 2*time.Second, 8*time.Second),
+		OverloadFactor: pickOne(g, 0, 1.5, 3), CrossZoneCost: pickOne(g, 0, 0.02),
+		ReportFields: pickOne(g, 0, HasInFlight, HasInFlight|HasUtilization|HasQueued, HasInFlight|HasServiceTime|HasThroughput|HasErrorRate),
 	}
-	cfg.Index = w.rng.IntN(cfg.Balancers)
-	if w.oneIn(2) {
-		cfg.RetryBudget = RetryBudget{Interval: pickOne(w, 200*ms, time.Second), MinRetries: float64(w.rng.IntN(4)), RetryRatio: pickOne(w, 0, 0.1, 0.5)}
+	cfg.Index = g.rng.IntN(cfg.Balancers)
+	if g.oneIn(2) {
+		cfg.RetryBudget = RetryBudget{Interval: pickOne(g, 200*ms, time.Second), MinRetries: float64(g.rng.IntN(4)), RetryRatio: pickOne(g, 0, 0.1, 0.5)}
 	}
-	for range 1 + w.rng.IntN(4) {
+	for range 1 + g.rng.IntN(4) {
 		cfg.Classes = append(cfg.Classes, Class{
-			LatencyObjective: pickOne(w, 80*ms, 200*ms), ObjectivePerWork: pickOne(w, 0, 0, 2.0), Deadline: pickOne(w, 400*ms, 2*time.Second),
-			LateValue: pickOne(w, 0, 0, 0.3), PriorityWeight: pickOne(w, 1.0, 1, 3, 0.2), Idempotency: Idempotency(w.rng.IntN(3)),
-			DedupScope: DedupScope(w.rng.IntN(3)), DedupWindow: pickOne(w, 0, 100*ms, time.Second), OrderedByKey: w.oneIn(3),
+			LatencyObjective: pickOne(g, 80*ms, 200*ms), ObjectivePerWork: pickOne(g, 0, 0, 2.0), Deadline: pickOne(g, 400*ms, 2*time.Second),
+			LateValue: pickOne(g, 0, 0, 0.3), PriorityWeight: pickOne(g, 1.0, 1, 3, 0.2), Idempotency: Idempotency(g.rng.IntN(3)),
+			DedupScope: DedupScope(g.rng.IntN(3)), DedupWindow: pickOne(g, 0, 100*ms, time.Second), OrderedByKey: g.oneIn(3),
 		})
 	}
-	quota := pickOne(w, 0, 30, 400.0)
-	for range w.rng.IntN(4) {
-		cfg.Tenants = append(cfg.Tenants, Tenant{Weight: 1 + float64(w.rng.IntN(3)), Quota: quota * float64(cfg.Balancers) / 4})
+	quota := pickOne(g, 0, 30, 400.0)
+	for range g.rng.IntN(4) {
+		cfg.Tenants = append(cfg.Tenants, Tenant{Weight: 1 + float64(g.rng.IntN(3)), Quota: quota * float64(cfg.Balancers) / 4})
 	}
 	return cfg
 }
 
-func (w *goldenRun) randomReport() LoadReport {
-	if !w.reports {
+func (g *goldenRun) randomReport() LoadReport {
+	if !g.reportsLoad {
 		return LoadReport{}
 	}
-	return LoadReport{Fields: w.cfg.ReportFields, InFlight: float64(w.rng.IntN(30)), Queued: float64(w.rng.IntN(9)),
-		Utilization: w.rng.Float64(), ServiceTime: time.Duration(w.rng.IntN(40)) * ms, Throughput: 30, ErrorRate: 1}
+	return LoadReport{Fields: g.cfg.ReportFields, InFlight: float64(g.rng.IntN(30)), Queued: float64(g.rng.IntN(9)),
+		Utilization: g.rng.Float64(), ServiceTime: time.Duration(g.rng.IntN(40)) * ms, Throughput: 30, ErrorRate: 1}
 }
 
-func (w *goldenRun) randomEndpoint(id int, state EndpointState) Endpoint {
-	s := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id%4/2*2 + id%2, State: state, Weight: pickOne(w, 1.0, 1, 2, 0)}
-	if w.oneIn(5) {
-		s.StartedAt = w.host.now - time.Duration(w.rng.IntN(5000))*ms
+func (g *goldenRun) randomEndpoint(id int, state EndpointState) Endpoint {
+	e := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id%4/2*2 + id%2, State: state, Weight: pickOne(g, 1.0, 1, 2, 0)}
+	if g.oneIn(5) {
+		e.StartedAt = g.host.now - time.Duration(g.rng.IntN(5000))*ms
 	}
-	return s
+	return e
 }
 
-func (w *goldenRun) updateEndpoints() {
-	kind := UpdateKind(w.rng.IntN(4))
+func (g *goldenRun) updateEndpoints() {
+	kind := UpdateKind(g.rng.IntN(4))
 	var entries []Endpoint
 	switch kind {
 	case UpdateFailed:
 	case DeltaUpdate:
-		entries = append(entries, w.randomEndpoint(w.rng.IntN(24), EndpointState(w.rng.IntN(3))))
+		entries = append(entries, g.randomEndpoint(g.rng.IntN(24), EndpointState(g.rng.IntN(3))))
 	default:
-		for id := range 4 + w.rng.IntN(20) {
-			entries = append(entries, w.randomEndpoint(id, pickOne(w, Ready, Ready, Ready, Draining)))
+		for id := range 4 + g.rng.IntN(20) {
+			entries = append(entries, g.randomEndpoint(id, pickOne(g, Ready, Ready, Ready, Draining)))
 		}
 	}
-	w.b.UpdateEndpoints(w.host.now, kind, entries)
+	g.balancer.UpdateEndpoints(g.host.now, kind, entries)
 }
 
-func (w *goldenRun) submitRandomRequest() {
-	w.next++
-	q := Request{ID: w.next, Class: w.rng.IntN(len(w.cfg.Classes)), Tenant: w.rng.IntN(max(1, len(w.cfg.Tenants))),
-		Key: uint64(w.rng.IntN(6)), ExpectedWork: pickOne(w, 0, 10*ms, 60*ms), ClientRetry: w.oneIn(6)}
-	q.Timeout = w.cfg.Classes[q.Class].Deadline - pickOne(w, 0, 0, 0, 150*ms)
-	switch w.rng.IntN(200) {
+func (g *goldenRun) submitRandomRequest() {
+	g.latestID++
+	req := Request{ID: g.latestID, Class: g.rng.IntN(len(g.cfg.Classes)), Tenant: g.rng.IntN(max(1, len(g.cfg.Tenants))),
+		Key: uint64(g.rng.IntN(6)), ExpectedWork: pickOne(g, 0, 10*ms, 60*ms), ClientRetry: g.oneIn(6)}
+	req.Timeout = g.cfg.Classes[req.Class].Deadline - pickOne(g, 0, 0, 0, 150*ms)
+	switch g.rng.IntN(200) {
 	case 0:
-		q.Class = 99 // no such class
+		req.Class = 99 // an unknown class
 	case 1:
-		q.ID = RequestID(w.rng.Uint64N(uint64(w.next))) + 1 // maybe one that is in use
+		req.ID = RequestID(g.rng.Uint64N(uint64(g.latestID))) + 1 // may be in use
 	case 2:
-		q.Timeout = 0
+		req.Timeout = 0
 	}
-	w.requestIDs = append(w.requestIDs, q.ID)
-	w.b.Request(w.host.now, q)
+	g.requestIDs = append(g.requestIDs, req.ID)
+	g.balancer.Request(g.host.now, req)
 }
 
-func (w *goldenRun) endRandomAttempt() {
-	if len(w.host.open) == 0 {
+func (g *goldenRun) endRandomAttempt() {
+	if len(g.host.inFlight) == 0 {
 		return
 	}
-	i := min(len(w.host.open)-1, w.rng.IntN(1+w.slow))
-	a := w.host.open[i]
-	w.host.open = append(w.host.open[:i:i], w.host.open[i+1:]...)
+	i := min(len(g.host.inFlight)-1, g.rng.IntN(1+g.slowdown))
+	a := g.host.inFlight[i]
+	g.host.inFlight = append(g.host.inFlight[:i:i], g.host.inFlight[i+1:]...)
 	result := Succeeded
-	if w.oneIn(4) {
-		result = pickOne(w, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
+	if g.oneIn(4) {
+		result = pickOne(g, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent)
 	}
-	answered := result == Succeeded || w.oneIn(20)
-	w.randomReport() // outcomes had one when the digests were recorded; the draws stay in their order
-	w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: result, Answered: answered})
-	if w.oneIn(50) { // repeated
-		w.b.Outcome(w.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
+	answered := result == Succeeded || g.oneIn(20)
+	g.randomReport() // unused, but drawn since the digests were recorded: without it, later draws would differ
+	g.balancer.Outcome(g.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: result, Answered: answered})
+	if g.oneIn(50) { // a repeated outcome
+		g.balancer.Outcome(g.host.now, Outcome{RequestID: a.id, Attempt: a.attempt, Result: Succeeded})
 	}
 }
 
-// step plays one event of any kind.
-func (w *goldenRun) step() {
-	w.host.now += time.Duration(w.rng.IntN(4000)) * time.Microsecond
-	if w.oneIn(400) {
-		w.slow = w.rng.IntN(12)
-		w.reports = !w.reports
+// step generates one event of a random kind.
+func (g *goldenRun) step() {
+	g.host.now += time.Duration(g.rng.IntN(4000)) * time.Microsecond
+	if g.oneIn(400) {
+		g.slowdown = g.rng.IntN(12)
+		g.reportsLoad = !g.reportsLoad
 	}
-	now := w.host.now
-	switch w.rng.IntN(20) {
+	now := g.host.now
+	switch g.rng.IntN(20) {
 	case 0, 1, 2, 3, 4, 5:
-		w.submitRandomRequest()
+		g.submitRandomRequest()
 	case 6, 7, 8, 9, 10:
-		if w.slow == 0 || w.oneIn(2) {
-			w.endRandomAttempt()
+		if g.slowdown == 0 || g.oneIn(2) {
+			g.endRandomAttempt()
 		}
 	case 11, 12, 13, 14:
-		w.b.TimerFired(now)
+		g.balancer.TimerFired(now)
 	case 15:
-		if w.oneIn(12) {
-			w.updateEndpoints()
+		if g.oneIn(12) {
+			g.updateEndpoints()
 		}
 	case 16, 17:
-		w.b.HealthChecked(now, EndpointID(w.rng.IntN(24)), !w.oneIn(5), w.randomReport())
+		g.balancer.HealthChecked(now, EndpointID(g.rng.IntN(24)), !g.oneIn(5), g.randomReport())
 	case 18:
-		at := now - pickOne(w, 0, 5*ms, 30*ms, time.Hour)
-		congestion := pickOne(w, 0.01, 0.2, 1, 3, -1, math.NaN())
-		w.b.ReceiveGossip(now, w.rng.IntN(w.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(w, 1.0, 20, 300), Responses: float64(w.rng.IntN(20)), Congestion: congestion})
+		at := now - pickOne(g, 0, 5*ms, 30*ms, time.Hour)
+		congestion := pickOne(g, 0.01, 0.2, 1, 3, -1, math.NaN())
+		g.balancer.ReceiveGossip(now, g.rng.IntN(g.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(g, 1.0, 20, 300), Responses: float64(g.rng.IntN(20)), Congestion: congestion})
 	case 19:
-		id := RequestID(w.rng.Uint64N(uint64(w.next) + 2))
-		if w.oneIn(2) {
-			w.b.ClientDisconnected(now, id)
+		id := RequestID(g.rng.Uint64N(uint64(g.latestID) + 2))
+		if g.oneIn(2) {
+			g.balancer.ClientDisconnected(now, id)
 		} else {
-			w.b.StreamStarted(id)
+			g.balancer.StreamStarted(id)
 		}
 	}
 }
 
-// runGolden plays a seed and returns the digest of what the Balancer did, and how many actions that was.
+// runGolden runs the events of a seed, and returns a digest of the Balancer's actions and counters and the number of
+// actions.
 func runGolden(t *testing.T, seed uint64) (digest string, actions int) {
 	t.Helper()
 	host := &goldenHost{now: time.Hour, attempts: map[RequestID]int{}}
-	w := &goldenRun{rng: rand.New(rand.NewPCG(seed, 11)), host: host, reports: true}
-	w.cfg = w.randomConfig()
-	b, err := New(w.cfg, seed, host)
+	g := &goldenRun{rng: rand.New(rand.NewPCG(seed, 11)), host: host, reportsLoad: true}
+	g.cfg = g.randomConfig()
+	balancer, err := New(g.cfg, seed, host)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
-	b.Start(host.now)
-	b.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{w.randomEndpoint(0, Ready), w.randomEndpoint(1, Ready), w.randomEndpoint(2, Ready), w.randomEndpoint(3, Ready), w.randomEndpoint(5, Ready)})
+	g.balancer = balancer
+	balancer.Start(host.now)
+	balancer.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{g.randomEndpoint(0, Ready), g.randomEndpoint(1, Ready), g.randomEndpoint(2, Ready), g.randomEndpoint(3, Ready), g.randomEndpoint(5, Ready)})
 	for range 4000 {
-		w.step()
+		g.step()
 	}
 	sum := fnv.New64a()
 	for _, line := range host.lines {
 		fmt.Fprintln(sum, line)
 	}
-	c := b.Counters()
-	fmt.Fprintln(sum, c.RoundRobinSends, c.DivertedSends, c.ConcurrencyLimited, c.Shed, c.CrossZoneSends, c.Retries, c.LateRejected, c.Queued, c.GossipSent, c.GossipReceived,
-		c.GossipDropped, c.Rejected, c.Failed)
+	counters := balancer.Counters()
+	fmt.Fprintln(sum, counters.RoundRobinSends, counters.DivertedSends, counters.ConcurrencyLimited, counters.Shed, counters.CrossZoneSends, counters.Retries, counters.LateRejected, counters.Queued, counters.GossipSent, counters.GossipReceived,
+		counters.GossipDropped, counters.Rejected, counters.Failed)
 	return fmt.Sprintf("%016x", sum.Sum64()), len(host.lines)
 }
 
-// goldenDigests holds a digest for each seed, of the decisions as they were when this test was written. A change of
-// structure keeps them all; only a commit that means to change a decision may change one, and says which and why.
+// goldenDigests holds the digest of the decisions for each seed, recorded when this test was written. A refactoring must
+// not change any of them. Only a commit that changes a decision on purpose may change a digest, and its message must say
+// which decision and why.
 var goldenDigests = []string{
 	"2860e6a157bd8061", "d291c38e97ef6c58", "1079b309ef8aaf71", "0f7043301687e37d",
 	"ca4a6b2172ce5cc7", "f559e6de65777795", "bb74b33b5b26281d", "7761455367b3b834",
@@ -256,13 +258,13 @@
 	"423b27e289b087ae", "508ea5c571eae1ea", "a8edf751294b49a9", "90789ac53409cc89",
 }
 
-// A change of structure must not change a decision. Random events of all kinds, under random settings, have to lead to
-// the recorded actions with their arguments and times, and to the recorded counters.
+// A refactoring must not change any decision. Random events of all kinds, under random settings, must lead to the
+// recorded actions with their arguments and times, and to the recorded counters.
 func TestDecisionsAreUnchanged(t *testing.T) {
 	for seed, want := range goldenDigests {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			if got, actions := runGolden(t, uint64(seed)); got != want {
-				t.Errorf("digest of %d actions is %s, recorded was %s", actions, got, want)
+				t.Errorf("digest of %d actions = %s, want %s", actions, got, want)
 			}
 		})
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -18,12 +18,12 @@
 // fakeHost records what a Balancer asks of its host.
 type fakeHost struct {
 	sends        []sentAttempt
-	rejected     map[RequestID]time.Duration // with the Retry-After
+	rejected     map[RequestID]time.Duration // Retry-After by request
 	failed       map[RequestID]bool
 	cancelled    []RequestID
 	healthChecks []EndpointID
 	idleCloses   []EndpointID
-	polls        int
+	polls        int // calls of WatchEndpoints
 	broadcasts   []GossipMessage
 	log          []HealthEvent
 }
@@ -68,7 +68,7 @@
 	return n
 }
 
-// The classes of testConfig, named after what repeating a request may do.
+// The classes of testConfig, named after the idempotency and deduplication scope of their requests.
 const (
 	idempotentClass = iota
 	dedupEverywhereClass
@@ -77,7 +77,8 @@
 	nonIdempotentClass
 )
 
-// testConfig is that of one of two balancers, with two tenants and a class for each kind of idempotency.
+// testConfig returns the configuration of one of two balancers, with two tenants and a class for each kind of
+// idempotency and deduplication scope.
 func testConfig() Config {
 	class := func(idempotency Idempotency, scope DedupScope) Class {
 		return Class{
@@ -120,13 +121,13 @@
 	return list
 }
 
-// start makes a Balancer and has it start with a list of endpoints.
+// start makes and starts a Balancer, and passes it an endpoint list.
 func start(t testing.TB, cfg Config, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
 }
 
-// startSeeded is start with a seed, for tests of many balancers.
+// startSeeded is start with a given seed, for tests with many balancers.
 func startSeeded(t testing.TB, cfg Config, seed uint64, list []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -139,17 +140,17 @@
 	return b, h
 }
 
-// submit passes a request of tenant 0.
+// submit passes a request of tenant 0 to a Balancer.
 func submit(b *Balancer, now time.Duration, id RequestID, class int) {
 	b.Request(now, Request{ID: id, Class: class, Timeout: 2 * time.Second})
 }
 
-// finish passes the outcome of an attempt.
+// finish passes the outcome of an attempt to a Balancer. Only a successful attempt answers the request.
 func finish(b *Balancer, now time.Duration, id RequestID, attempt int, result Result) {
 	b.Outcome(now, Outcome{RequestID: id, Attempt: attempt, Result: result, Answered: result == Succeeded})
 }
 
-// resetAdmission has admission forget what it counted, in tests that are not about it.
+// resetAdmission resets the counts of admission, so that it sheds no requests in tests of other mechanisms.
 func resetAdmission(b *Balancer) {
 	for i := range b.admission.demand {
 		d := &b.admission.demand[i]
@@ -157,7 +158,7 @@
 	}
 }
 
-// largeFleetConfig is like the settings of a fleet of hundreds of balancers.
+// largeFleetConfig returns a configuration typical of a fleet of hundreds of balancers.
 func largeFleetConfig(balancers int) Config {
 	class := func(priority float64, idempotency Idempotency) Class {
 		return Class{
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// randomEvents drives a Balancer with legal events in any order, while its ruleChecker checks the rules. It does not
-// simulate endpoints: pick decides what happens.
-type randomEvents struct {
+// eventGenerator passes valid events to a Balancer in random order, while its ruleChecker checks the rules. It does not
+// simulate endpoints: pick determines all events.
+type eventGenerator struct {
 	*ruleChecker
-	pick       func(n int) int // one of n possibilities
-	next       RequestID
-	stableList bool // the endpoint list seldom changes
+	pick       func(n int) int // returns a number from 0 to n-1
+	latestID   RequestID
+	stableList bool // the endpoint list rarely changes
 }
 
-// pickFrom returns one of the values.
+// pickFrom returns one of the values, chosen by pick.
 func pickFrom[T any](pick func(n int) int, values ...T) T { return values[pick(len(values))] }
 
 // randomConfig draws the settings that the rules depend on.
@@ -42,109 +42,109 @@
 	return cfg
 }
 
-// runRandomEvents plays a number of events and then lets time pass until every request must have been answered. It
-// returns the Balancer's actions.
+// runRandomEvents generates a number of events and then advances the time until every request must have been answered.
+// It returns the Balancer's actions.
 func runRandomEvents(t testing.TB, steps int, pick func(n int) int) []string {
 	t.Helper()
 	cfg := randomConfig(pick)
 	c := newRuleChecker(t, cfg, time.Hour)
-	w := &randomEvents{ruleChecker: c, pick: pick, stableList: pick(2) == 0}
-	b, err := New(cfg, uint64(pick(1000)), c)
+	g := &eventGenerator{ruleChecker: c, pick: pick, stableList: pick(2) == 0}
+	balancer, err := New(cfg, uint64(pick(1000)), c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.b = b
-	b.Start(w.now)
+	c.balancer = balancer
+	balancer.Start(g.now)
 	for range steps {
-		w.step()
-		w.checkIdleCloses()
-		w.checkSlots()
-		w.dropOver()
+		g.step()
+		g.checkIdleCloses()
+		g.checkSlots()
+		g.dropFinished()
 	}
 	for range 600 {
-		w.now += 5 * ms
-		w.expireAttempts()
-		b.TimerFired(w.now)
-		w.checkSlots()
-		w.dropOver()
-		w.checkIdleCloses()
+		g.now += 5 * ms
+		g.expireAttempts()
+		balancer.TimerFired(g.now)
+		g.checkSlots()
+		g.dropFinished()
+		g.checkIdleCloses()
 	}
-	for id, r := range w.requests {
+	for id, r := range g.requests {
 		if !r.answered {
 			t.Fatalf("request %d was never answered", id)
 		}
 	}
-	if len(b.requests) != 0 || b.inFlight != 0 {
-		t.Fatalf("%d requests and %d attempts remain", len(b.requests), b.inFlight)
+	if len(balancer.requests) != 0 || balancer.inFlight != 0 {
+		t.Fatalf("%d requests and %d attempts in flight remain registered, want none", len(balancer.requests), balancer.inFlight)
 	}
-	return w.trace
+	return g.trace
 }
 
-// step plays one event of any kind, after a gossip message now and then.
-func (w *randomEvents) step() {
-	w.now += time.Duration(w.pick(8)) * ms
-	if w.cfg.CanGossip && w.pick(4) == 0 {
-		w.receiveGossip()
+// step generates one event of a random kind, sometimes after a gossip message.
+func (g *eventGenerator) step() {
+	g.now += time.Duration(g.pick(8)) * ms
+	if g.cfg.CanGossip && g.pick(4) == 0 {
+		g.receiveGossip()
 	}
-	w.expireAttempts()
-	switch w.pick(10) {
+	g.expireAttempts()
+	switch g.pick(10) {
 	case 0, 1, 2:
-		w.submitRequest()
+		g.submitRequest()
 	case 3, 4, 5:
-		w.endRandomAttempt()
+		g.endRandomAttempt()
 	case 6:
-		w.b.TimerFired(w.now)
+		g.balancer.TimerFired(g.now)
 	case 7:
-		if !w.stableList || len(w.endpoints) == 0 || w.pick(30) == 0 {
-			w.updateEndpoints()
+		if !g.stableList || len(g.endpoints) == 0 || g.pick(30) == 0 {
+			g.updateEndpoints()
 		}
 	case 8:
-		w.b.HealthChecked(w.now, EndpointID(w.pick(8)), w.pick(2) == 0, w.loadReport(w.pick(200)))
+		g.balancer.HealthChecked(g.now, EndpointID(g.pick(8)), g.pick(2) == 0, g.loadReport(g.pick(200)))
 	case 9:
-		w.disconnectClient()
+		g.disconnectClient()
 	}
 }
 
-// receiveGossip plays a message, plausible or not: no message may break a rule.
-func (w *randomEvents) receiveGossip() {
-	figure := func() float64 { return pickFrom(w.pick, 0, 1, 40, 4, 1e9, -1, math.NaN(), math.Inf(1)) }
-	at := w.now + pickFrom(w.pick, 0, -ms, -time.Hour, time.Hour)
-	w.b.ReceiveGossip(w.now, w.pick(60)-5,
-		GossipMessage{SentAt: at, RequestRate: figure(), Responses: figure(), Congestion: figure()})
+// receiveGossip generates a gossip message, which may be implausible: no message may lead to a violation of a rule.
+func (g *eventGenerator) receiveGossip() {
+	randomValue := func() float64 { return pickFrom(g.pick, 0, 1, 40, 4, 1e9, -1, math.NaN(), math.Inf(1)) }
+	sentAt := g.now + pickFrom(g.pick, 0, -ms, -time.Hour, time.Hour)
+	g.balancer.ReceiveGossip(g.now, g.pick(60)-5,
+		GossipMessage{SentAt: sentAt, RequestRate: randomValue(), Responses: randomValue(), Congestion: randomValue()})
 }
 
-func (w *randomEvents) submitRequest() {
-	w.next++
-	q := Request{ID: w.next, Class: w.pick(len(w.cfg.Classes)), Tenant: w.pick(2)}
-	q.Timeout = time.Duration(1+w.pick(2000)) * ms
-	q.Key = uint64(w.pick(4))
-	w.requests[q.ID] = &trackedRequest{Request: q, deadline: w.now + q.Timeout}
-	w.requestTimes = append(w.requestTimes, w.now)
-	w.order = append(w.order, q.ID)
-	w.b.Request(w.now, q)
+func (g *eventGenerator) submitRequest() {
+	g.latestID++
+	req := Request{ID: g.latestID, Class: g.pick(len(g.cfg.Classes)), Tenant: g.pick(2)}
+	req.Timeout = time.Duration(1+g.pick(2000)) * ms
+	req.Key = uint64(g.pick(4))
+	g.requests[req.ID] = &trackedRequest{Request: req, deadline: g.now + req.Timeout}
+	g.requestTimes = append(g.requestTimes, g.now)
+	g.requestIDs = append(g.requestIDs, req.ID)
+	g.balancer.Request(g.now, req)
 }
 
-func (w *randomEvents) disconnectClient() {
-	if len(w.order) == 0 {
+func (g *eventGenerator) disconnectClient() {
+	if len(g.requestIDs) == 0 {
 		return
 	}
-	id := w.order[w.pick(len(w.order))]
-	if r := w.requests[id]; !r.answered {
+	id := g.requestIDs[g.pick(len(g.requestIDs))]
+	if r := g.requests[id]; !r.answered {
 		r.answered = true
-		w.b.ClientDisconnected(w.now, id)
+		g.balancer.ClientDisconnected(g.now, id)
 	}
 }
 
-// endRandomAttempt ends an attempt in flight, if it finds one in a few draws.
-func (w *randomEvents) endRandomAttempt() {
+// endRandomAttempt ends an attempt in flight, if a few draws find one.
+func (g *eventGenerator) endRandomAttempt() {
 	for range 4 {
-		if len(w.order) == 0 {
+		if len(g.requestIDs) == 0 {
 			return
 		}
-		id := w.order[w.pick(len(w.order))]
-		for i := range w.requests[id].attempts {
-			if w.requests[id].attempts[i].inFlight {
-				w.endAttempt(id, i, pickFrom(w.pick,
+		id := g.requestIDs[g.pick(len(g.requestIDs))]
+		for i := range g.requests[id].attempts {
+			if g.requests[id].attempts[i].inFlight {
+				g.endAttempt(id, i, pickFrom(g.pick,
 					Succeeded, ServerError, Rejected, ConnectFailed, ConnectionLost, Cancelled, NotSent))
 				return
 			}
@@ -152,86 +152,89 @@
 	}
 }
 
-func (w *randomEvents) endAttempt(id RequestID, number int, result Result) {
-	r := w.requests[id]
+// endAttempt updates the records for an attempt that has ended, and passes its outcome to the Balancer.
+func (g *eventGenerator) endAttempt(id RequestID, number int, result Result) {
+	r := g.requests[id]
 	a := &r.attempts[number]
 	a.inFlight, a.result = false, result
 	r.answered = r.answered || result == Succeeded
 	mayBeRunning := result == TimedOut || result == ConnectionLost || result == Cancelled
-	if w.cfg.Classes[r.Class].OrderedByKey && mayBeRunning {
-		w.blockedUntil[r.Key] = w.now + w.cfg.OrderingDelay
+	if g.cfg.Classes[r.Class].OrderedByKey && mayBeRunning {
+		g.blockedUntil[r.Key] = g.now + g.cfg.OrderingDelay
 	}
-	w.expectIdleClose(a.endpoint.ID)
-	w.b.Outcome(w.now,
+	g.expectIdleClose(a.endpoint.ID)
+	g.balancer.Outcome(g.now,
 		Outcome{RequestID: id, Attempt: number, Result: result, Answered: r.answered})
 }
 
-// expireAttempts fires the Balancer's timer, and ends the attempts of requests at their deadline.
-func (w *randomEvents) expireAttempts() {
-	w.b.TimerFired(w.now)
-	for _, id := range w.order {
-		r := w.requests[id]
+// expireAttempts fires the Balancer's timer, and ends the attempts of requests that have reached their deadline.
+func (g *eventGenerator) expireAttempts() {
+	g.balancer.TimerFired(g.now)
+	for _, id := range g.requestIDs {
+		r := g.requests[id]
 		for i := range r.attempts {
-			if r.attempts[i].inFlight && w.now >= r.deadline {
-				w.endAttempt(id, i, TimedOut)
+			if r.attempts[i].inFlight && g.now >= r.deadline {
+				g.endAttempt(id, i, TimedOut)
 			}
 		}
 	}
 }
 
 // randomEndpoint draws a list entry. No two zones share a cell.
-func (w *randomEvents) randomEndpoint() Endpoint {
-	id := w.pick(8)
+func (g *eventGenerator) randomEndpoint() Endpoint {
+	id := g.pick(8)
 	e := Endpoint{ID: EndpointID(id), Zone: id % 2, Cell: id/2%2*2 + id%2,
-		State: EndpointState(w.pick(3)), Weight: float64(w.pick(4))}
-	if w.pick(4) == 0 {
-		e.StartedAt = w.now - time.Duration(w.pick(10000))*ms
+		State: EndpointState(g.pick(3)), Weight: float64(g.pick(4))}
+	if g.pick(4) == 0 {
+		e.StartedAt = g.now - time.Duration(g.pick(10000))*ms
 	}
 	return e
 }
 
-func (w *randomEvents) updateEndpoints() {
-	kind := UpdateKind(w.pick(4))
+func (g *eventGenerator) updateEndpoints() {
+	kind := UpdateKind(g.pick(4))
 	if kind == UpdateFailed {
-		w.b.UpdateEndpoints(w.now, kind, nil)
+		g.balancer.UpdateEndpoints(g.now, kind, nil)
 		return
 	}
-	before := maps.Clone(w.endpoints)
+	before := maps.Clone(g.endpoints)
 	if kind != DeltaUpdate {
-		clear(w.endpoints)
-		clear(w.closeBy)
+		clear(g.endpoints)
+		clear(g.closeBy)
 	}
 	var entries []Endpoint
-	for range w.pick(8) {
-		e := w.randomEndpoint()
+	for range g.pick(8) {
+		e := g.randomEndpoint()
 		if slices.ContainsFunc(entries, func(other Endpoint) bool { return other.ID == e.ID }) {
 			continue
 		}
 		entries = append(entries, e)
 		if old, ok := before[e.ID]; !ok || e.StartedAt > old.StartedAt || old.State == Removed {
-			delete(w.slowStartSends, e.ID)
+			delete(g.slowStartSends, e.ID)
 		}
-		w.endpoints[e.ID] = e
+		g.endpoints[e.ID] = e
 	}
 	for _, e := range entries {
-		delete(w.closeBy, e.ID)
-		w.expectIdleClose(e.ID)
+		delete(g.closeBy, e.ID)
+		g.expectIdleClose(e.ID)
 	}
-	w.b.UpdateEndpoints(w.now, kind, entries)
+	g.balancer.UpdateEndpoints(g.now, kind, entries)
 }
 
-// loadReport returns a report with the fields that the settings name, or none at all for every third n.
-func (w *randomEvents) loadReport(n int) LoadReport {
+// loadReport returns a load report that depends on n and has the fields in Config.ReportFields, or no report for every
+// third n.
+func (g *eventGenerator) loadReport(n int) LoadReport {
 	if n%3 == 0 {
 		return LoadReport{}
 	}
-	return LoadReport{Fields: w.cfg.ReportFields, InFlight: float64(n % 40), Utilization: float64(n%11) / 10,
+	return LoadReport{Fields: g.cfg.ReportFields, InFlight: float64(n % 40), Utilization: float64(n%11) / 10,
 		ServiceTime: time.Duration(n%7) * 20 * ms}
 }
 
-// Whatever comes in whatever order, the rules that clients and endpoints rely on hold: one answer for each request, in
-// time; no request runs twice whose class forbids it; nothing for endpoints that are not ready; no overload in slow
-// start; the order of keys; the retry budget; idle connections to draining endpoints are closed.
+// Whatever events occur in whatever order, the rules that clients and endpoints rely on must hold: each request is
+// answered once and in time, no request runs twice if its class forbids it, endpoints that are not ready get no
+// requests, endpoints in slow start are not overloaded, requests of one key run in order, retries stay within their
+// budget, and idle connections to draining endpoints are closed.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -240,31 +243,31 @@
 	}
 }
 
-// A failure of a random run can be found only if the same events lead to the same actions again.
+// A failure of a random run can be reproduced only if the same events always lead to the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			first := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 			second := runRandomEvents(t, 800, rand.New(rand.NewPCG(seed, 3)).IntN)
 			if !slices.Equal(first, second) {
-				t.Fatal("two runs over the same events differ")
+				t.Fatal("actions of two runs with the same events differ")
 			}
 		})
 	}
 }
 
-// FuzzRules lets the fuzzer's input decide what happens.
+// FuzzRules checks the rules with events determined by the fuzzer's input.
 func FuzzRules(f *testing.F) {
 	f.Add([]byte("a seed of some length, so that a few events happen"))
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		at := 0
+		position := 0
 		runRandomEvents(t, min(len(data)/2, 400), func(n int) int {
 			if len(data) == 0 {
 				return 0
 			}
-			v := int(data[at%len(data)]) + 251*(at/len(data)) + at
-			at++
+			v := int(data[position%len(data)]) + 251*(position/len(data)) + position
+			position++
 			return v % n
 		})
 	})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// ruleChecker is a Host that checks the rules at every action of a Balancer. It keeps count of the requests and the
-// endpoints by itself, so that a mistake in the Balancer's own state does not hide from it.
+// ruleChecker is a Host that checks the rules at every action of a Balancer. It tracks the requests and endpoints
+// independently of the Balancer, so that it also detects faults in the Balancer's own state.
 type ruleChecker struct {
-	t         testing.TB
-	cfg       Config
-	b         *Balancer
-	now       time.Duration
-	requests  map[RequestID]*trackedRequest
-	order     []RequestID // keys of requests, in order of arrival, so that a run can be repeated
-	endpoints map[EndpointID]Endpoint
-	trace     []string // the actions
+	t          testing.TB
+	cfg        Config
+	balancer   *Balancer
+	now        time.Duration
+	requests   map[RequestID]*trackedRequest
+	requestIDs []RequestID // keys of requests, in order of arrival: iterating over the map would make runs differ
+	endpoints  map[EndpointID]Endpoint
+	trace      []string // the Balancer's actions, as text
 
-	requestTimes   []time.Duration                // of all requests, for the retry budget
-	retryTimes     []time.Duration                // of all retries
-	blockedUntil   map[uint64]time.Duration       // by key
-	slowStartSends map[EndpointID][]time.Duration // since the endpoint was listed as started
-	closeBy        map[EndpointID]time.Duration   // when idle connections to a draining endpoint must be closed
+	requestTimes   []time.Duration                // times of all requests, for the retry budget
+	retryTimes     []time.Duration                // times of all retries
+	blockedUntil   map[uint64]time.Duration       // by Request.Key
+	slowStartSends map[EndpointID][]time.Duration // times of the sends since the endpoint was listed with a new start
+	closeBy        map[EndpointID]time.Duration   // by when idle connections to a draining endpoint must be closed
 }
 
 func newRuleChecker(t testing.TB, cfg Config, now time.Duration) *ruleChecker {
@@ -39,24 +39,24 @@
 	}
 }
 
-// trackedRequest is what a ruleChecker knows of one request.
+// trackedRequest is a ruleChecker's record of one request.
 type trackedRequest struct {
 	Request
 	deadline time.Duration
 	attempts []trackedAttempt
-	answered bool // or its client has gone
+	answered bool // answered, or its client has disconnected
 }
 
-// trackedAttempt is what a ruleChecker knows of one attempt.
+// trackedAttempt is a ruleChecker's record of one attempt.
 type trackedAttempt struct {
-	endpoint Endpoint // as listed when it was sent
+	endpoint Endpoint // as listed when the attempt was sent
 	sentAt   time.Duration
 	result   Result
 	inFlight bool
 }
 
-// firstEffective returns the first attempt that may have run or may be running, or nil.
-func (r *trackedRequest) firstEffective() *trackedAttempt {
+// firstThatMayHaveRun returns the first attempt that may have run or may still be running, or nil.
+func (r *trackedRequest) firstThatMayHaveRun() *trackedAttempt {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		neverRan := a.result == Rejected || a.result == ConnectFailed || a.result == NotSent
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// inFlight counts the attempts in flight.
+// inFlight returns the number of attempts in flight.
 func (r *trackedRequest) inFlight() (n int) {
 	for _, a := range r.attempts {
 		if a.inFlight {
@@ -77,9 +77,10 @@
 	return n
 }
 
-// over says that nothing more can come of a request.
-func (r *trackedRequest) over() bool { return r.answered && r.inFlight() == 0 }
+// finished reports whether a request has been answered and none of its attempts is in flight.
+func (r *trackedRequest) finished() bool { return r.answered && r.inFlight() == 0 }
 
+// record appends an action to the trace.
 func (c *ruleChecker) record(format string, args ...any) {
 	c.trace = append(c.trace, fmt.Sprintf(format, args...))
 }
@@ -95,47 +96,48 @@
 	r.attempts = append(r.attempts, trackedAttempt{endpoint: e, sentAt: c.now, inFlight: true})
 }
 
-// checkAttempt checks that an open request is sent to a ready endpoint, within its deadline and number of attempts.
+// checkAttempt checks that the request is open and the endpoint ready, and that the attempt keeps to the request's
+// deadline and to the maximum number of attempts.
 func (c *ruleChecker) checkAttempt(id RequestID, r *trackedRequest, e Endpoint, timeout time.Duration) {
 	c.t.Helper()
 	switch {
 	case r == nil || r.answered:
-		c.t.Fatalf("attempt for request %d, which is over", id)
+		c.t.Fatalf("attempt for request %d, which is unknown or already answered", id)
 	case e.State != Ready:
-		c.t.Fatalf("attempt at endpoint %d in state %d", e.ID, e.State)
+		c.t.Fatalf("attempt at endpoint %d, which is in state %d, not ready", e.ID, e.State)
 	case timeout <= 0 || c.now+timeout > r.deadline:
-		c.t.Fatalf("attempt timeout %v at %v runs past the deadline %v", timeout, c.now, r.deadline)
+		c.t.Fatalf("attempt with timeout %v at %v ends after the deadline %v", timeout, c.now, r.deadline)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.t.Fatalf("attempt %d of at most %d", len(r.attempts)+1, c.cfg.MaxAttempts)
+		c.t.Fatalf("attempt %d sent, want at most %d attempts", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 }
 
-// checkDuplicate checks that no request runs twice whose class forbids it.
+// checkDuplicate checks that no request runs twice if its class forbids it.
 func (c *ruleChecker) checkDuplicate(r *trackedRequest, e Endpoint) {
 	c.t.Helper()
-	if n := r.inFlight(); n > 0 { // no setting allows two
+	if n := r.inFlight(); n > 0 { // no configuration allows hedged requests
 		c.t.Fatalf("request %d sent while %d of its attempts are in flight", r.ID, n)
 	}
-	class, first := c.cfg.Classes[r.Class], r.firstEffective()
+	class, first := c.cfg.Classes[r.Class], r.firstThatMayHaveRun()
 	if first == nil {
 		return
 	}
 	switch class.Idempotency {
 	case NonIdempotent:
-		c.t.Fatalf("request %d, not idempotent, sent again though it may have run", r.ID)
+		c.t.Fatalf("non-idempotent request %d sent again although it may have run", r.ID)
 	case IdempotentByKey:
 		if c.now-first.sentAt >= class.DedupWindow {
-			c.t.Fatalf("request %d, idempotent by key, sent again %v after the first attempt", r.ID, c.now-first.sentAt)
+			c.t.Fatalf("request %d, idempotent by key, sent again %v after its first attempt, outside its deduplication window", r.ID, c.now-first.sentAt)
 		}
 		otherZone := class.DedupScope == DedupInZone && e.Zone != first.endpoint.Zone
 		otherCell := class.DedupScope == DedupInCell && e.Cell != first.endpoint.Cell
 		if otherZone || otherCell {
-			c.t.Fatalf("request %d, idempotent by key, sent outside its scope", r.ID)
+			c.t.Fatalf("request %d, idempotent by key, sent again outside its deduplication scope", r.ID)
 		}
 	}
 }
 
-// checkRetryBudget checks that the retries of an interval stay within the budget of its requests.
+// checkRetryBudget checks that the retries of each interval stay within the budget given by its requests.
 func (c *ruleChecker) checkRetryBudget(r *trackedRequest) {
 	c.t.Helper()
 	budget := c.cfg.RetryBudget
@@ -155,11 +157,12 @@
 		}
 	}
 	if float64(retries) > budget.MinRetries+budget.RetryRatio*float64(requests)+1e-6 {
-		c.t.Fatalf("%d retries in %v, in which there were %d requests", retries, budget.Interval, requests)
+		c.t.Fatalf("%d retries in %v exceed the budget for %d requests", retries, budget.Interval, requests)
 	}
 }
 
-// checkSlowStart checks that this balancer sends an endpoint in slow start at most its even part of what that bears.
+// checkSlowStart checks that this balancer sends an endpoint in slow start at most an equal share of the requests that
+// the endpoint can take without failing.
 func (c *ruleChecker) checkSlowStart(e Endpoint) {
 	c.t.Helper()
 	age := c.now - e.StartedAt
@@ -179,11 +182,11 @@
 	}
 	capacityFraction := c.cfg.SlowStartFraction + (1-c.cfg.SlowStartFraction)*float64(age)/float64(c.cfg.SlowStartDuration)
 	if limit := 1 + c.cfg.OverloadFactor*capacityFraction*quota/float64(c.cfg.Balancers); float64(sends) > limit {
-		c.t.Fatalf("%d sends in a second to endpoint %d, in slow start for %v, at most %.1f", sends, e.ID, age, limit)
+		c.t.Fatalf("%d sends in one second to endpoint %d, in slow start for %v, want at most %.1f", sends, e.ID, age, limit)
 	}
 }
 
-// checkKeyOrder checks that no earlier request of the same key is open, and that the key is not blocked.
+// checkKeyOrder checks that all earlier requests of the same key have finished, and that the key is not blocked.
 func (c *ruleChecker) checkKeyOrder(r *trackedRequest) {
 	c.t.Helper()
 	ordered := func(other *trackedRequest) bool {
@@ -193,41 +196,41 @@
 		return
 	}
 	for id, other := range c.requests {
-		if id < r.ID && ordered(other) && !other.over() { // ids are in order of arrival
-			c.t.Fatalf("request %d sent while %d of its key is not over", r.ID, id)
+		if id < r.ID && ordered(other) && !other.finished() { // IDs are in order of arrival
+			c.t.Fatalf("request %d sent before request %d of the same key has finished", r.ID, id)
 		}
 	}
 	if len(r.attempts) == 0 && c.now < c.blockedUntil[r.Key] {
-		c.t.Fatalf("request %d sent %v too early after another of its key", r.ID, c.blockedUntil[r.Key]-c.now)
+		c.t.Fatalf("request %d sent while its key is blocked for another %v", r.ID, c.blockedUntil[r.Key]-c.now)
 	}
 }
 
 // checkIdleCloses checks that idle connections to draining endpoints are closed in time.
 func (c *ruleChecker) checkIdleCloses() {
 	c.t.Helper()
-	for id, by := range c.closeBy {
-		if c.now > by {
-			c.t.Fatalf("connections to endpoint %d not closed, %v late", id, c.now-by)
+	for id, limit := range c.closeBy {
+		if c.now > limit {
+			c.t.Fatalf("idle connections to draining endpoint %d not closed, %v overdue", id, c.now-limit)
 		}
 	}
 }
 
-// expectIdleClose starts that time anew, if the endpoint drains.
+// expectIdleClose restarts the time limit for closing idle connections to an endpoint, if it is draining.
 func (c *ruleChecker) expectIdleClose(id EndpointID) {
 	if c.cfg.IdleCloseTimeout > 0 && c.endpoints[id].State == Draining {
 		c.closeBy[id] = c.now + c.cfg.IdleCloseTimeout
 	}
 }
 
-// recordAnswer checks that a request is answered once, and in time.
+// recordAnswer records the answer to a request, and checks that it is the first one and in time.
 func (c *ruleChecker) recordAnswer(id RequestID) *trackedRequest {
 	c.t.Helper()
 	r := c.requests[id]
 	if r == nil || r.answered {
-		c.t.Fatalf("second answer for request %d, or one for an unknown request", id)
+		c.t.Fatalf("request %d answered, which is unknown or already answered", id)
 	}
 	if c.now > r.deadline+20*ms {
-		c.t.Fatalf("answered %v after the deadline", c.now-r.deadline)
+		c.t.Fatalf("request answered %v after its deadline", c.now-r.deadline)
 	}
 	r.answered = true
 	return r
@@ -237,10 +240,10 @@
 	c.record("reject %d %v", id, retryAfter)
 	r := c.recordAnswer(id)
 	class := c.cfg.Classes[r.Class]
-	harmful := class.Idempotency == NonIdempotent ||
+	duplicateHasEffect := class.Idempotency == NonIdempotent ||
 		class.Idempotency == IdempotentByKey && class.DedupScope != DedupEverywhere
-	if r.firstEffective() != nil && harmful {
-		c.t.Fatalf("request %d rejected though it may have run", id)
+	if r.firstThatMayHaveRun() != nil && duplicateHasEffect {
+		c.t.Fatalf("request %d rejected although it may have run and a duplicate may have an effect", id)
 	}
 	if retryAfter < 0 || retryAfter > c.cfg.MaxRetryAfter {
 		c.t.Fatalf("request %d rejected with a Retry-After of %v, want 0 to %v", id, retryAfter, c.cfg.MaxRetryAfter)
@@ -256,40 +259,40 @@
 func (c *ruleChecker) WatchEndpoints()                  { c.record("watch") }
 func (c *ruleChecker) Log(e HealthEvent)                { c.record("log %s", e) }
 
-// checkSlots checks that the Balancer counts the attempts in flight as they are: no slot leaks, and none is used twice.
+// checkSlots checks that the Balancer's counts of attempts in flight are right: no slot leaks, and none is used twice.
 func (c *ruleChecker) checkSlots() {
 	c.t.Helper()
-	byTenant := make([]int, len(c.cfg.Tenants))
+	inFlightByTenant := make([]int, len(c.cfg.Tenants))
 	total := 0
 	for _, r := range c.requests {
-		byTenant[r.Tenant] += r.inFlight()
+		inFlightByTenant[r.Tenant] += r.inFlight()
 		total += r.inFlight()
 	}
-	for i, h := range c.b.bulkheads.byTenant {
-		if h.slotsInUse != byTenant[i] || h.slotsInUse > h.slots || c.b.FreeSlots(i) < 0 {
-			c.t.Fatalf("bulkhead %d: %d of %d slots used, %d attempts in flight", i, h.slotsInUse, h.slots, byTenant[i])
+	for i, h := range c.balancer.bulkheads.byTenant {
+		if h.slotsInUse != inFlightByTenant[i] || h.slotsInUse > h.slots || c.balancer.FreeSlots(i) < 0 {
+			c.t.Fatalf("bulkhead %d: %d of %d slots in use, %d attempts in flight", i, h.slotsInUse, h.slots, inFlightByTenant[i])
 		}
 	}
-	if c.b.inFlight != total {
-		c.t.Fatalf("%d attempts counted, %d in flight", c.b.inFlight, total)
+	if c.balancer.inFlight != total {
+		c.t.Fatalf("Balancer counts %d attempts in flight, want %d", c.balancer.inFlight, total)
 	}
-	for _, e := range c.b.endpoints.all {
+	for _, e := range c.balancer.endpoints.all {
 		if e.inFlight < 0 {
-			c.t.Fatalf("%d attempts counted at endpoint %d", e.inFlight, e.ID)
+			c.t.Fatalf("Balancer counts %d attempts in flight at endpoint %d, want at least 0", e.inFlight, e.ID)
 		}
 	}
 }
 
-// dropOver drops the requests that are over, once there are many.
-func (c *ruleChecker) dropOver() {
-	if len(c.order) <= 60 {
+// dropFinished drops the finished requests if more than 60 are tracked.
+func (c *ruleChecker) dropFinished() {
+	if len(c.requestIDs) <= 60 {
 		return
 	}
-	c.order = slices.DeleteFunc(c.order, func(id RequestID) bool {
-		over := c.requests[id].over()
-		if over {
+	c.requestIDs = slices.DeleteFunc(c.requestIDs, func(id RequestID) bool {
+		finished := c.requests[id].finished()
+		if finished {
 			delete(c.requests, id)
 		}
-		return over
+		return finished
 	})
 }
--- a/policy/shape_test.go
+++ b/policy/shape_test.go
@@ -11,8 +11,8 @@
 	"unicode/utf8"
 )
 
-// Engineers on call read this package at night: no file may be too long to read in one go, no function longer than a
-// screen, and the package comment says what it is for.
+// Engineers on call must be able to read this package under time pressure: no file may be too long to read in one go, no
+// function longer than a screen, no line too wide, and the package must have a doc comment.
 func TestPackageStaysReadable(t *testing.T) {
 	const maxFileLines, maxColumns, maxFunctionLines = 300, 110, 50
 	paths, err := filepath.Glob("*.go")
@@ -30,11 +30,11 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s: %d lines, at most %d", path, len(lines), maxFileLines)
+			t.Errorf("%s: %d lines, want at most %d", path, len(lines), maxFileLines)
 		}
 		for n, line := range lines {
 			if utf8.RuneCountInString(line) > maxColumns {
-				t.Errorf("%s:%d: more than %d characters", path, n+1, maxColumns)
+				t.Errorf("%s:%d: line has more than %d characters", path, n+1, maxColumns)
 			}
 		}
 		files := token.NewFileSet()
@@ -49,11 +49,11 @@
 				continue
 			}
 			if n := files.Position(function.End()).Line - files.Position(function.Pos()).Line; n > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines, at most %d", path, function.Name.Name, n, maxFunctionLines)
+				t.Errorf("%s: function %s has %d lines, want at most %d", path, function.Name.Name, n, maxFunctionLines)
 			}
 		}
 	}
 	if !documented {
-		t.Error("the package has no doc comment")
+		t.Error("package has no doc comment, want one")
 	}
 }
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// slowStartFleet describes balancers that send to the same endpoints, some of which have just started.
+// slowStartFleet describes a fleet of balancers that send to the same endpoints, some of which are in slow start.
 type slowStartFleet struct {
 	balancers          int
 	established        int     // endpoints that started long ago
 	starting           int     // endpoints in slow start
-	load               float64 // requests, as a fraction of the quotas
-	trafficSpread      float64 // standard deviation of the logarithm of the balancers' parts of the load; 0: even parts
-	rejectedFraction   float64 // of the attempts at established endpoints, which are retried
-	unknownQuota       bool    // no tenants, so no quotas tell what endpoints can do
-	balancersRestarted bool    // all balancers start after the endpoints, with a list that names these
+	load               float64 // request rate, as a fraction of the quotas
+	trafficSpread      float64 // standard deviation of the logarithm of the balancers' request rates; 0: equal rates
+	rejectedFraction   float64 // fraction of the attempts at established endpoints that are rejected, and then retried
+	unknownQuota       bool    // no tenants, so the capacity of the endpoints cannot be derived from quotas
+	balancersRestarted bool    // all balancers start after the endpoints, with a list that has the starting endpoints
 }
 
 const (
-	slowStartStep    = 5 * ms
-	slowStartLatency = 30 * ms
-	overloadWindow   = 2 * time.Second // in which an endpoint fails by the requests of it
-	endpointCapacity = 9.0             // requests per second after slow start
-	quotaFraction    = 0.95            // of the capacity of all endpoints
-	endpointsStartAt = 10 * time.Second
+	slowStartStep    = 5 * ms           // time step of the simulation
+	slowStartLatency = 30 * ms          // latency of a successful attempt
+	overloadWindow   = 2 * time.Second  // an endpoint fails if it is overloaded over this time
+	endpointCapacity = 9.0              // requests per second after slow start
+	quotaFraction    = 0.95             // quotas of all tenants, as a fraction of the capacity of all endpoints
+	endpointsStartAt = 10 * time.Second // when the starting endpoints start
 )
 
 // fleetBalancer is one balancer of a slowStartRun.
 type fleetBalancer struct {
 	*Balancer
-	host        *fakeHost
-	seen        int     // sends that the run has taken
-	requestRate float64 // relative to the sum of all balancers' rates
+	host           *fakeHost
+	processedSends int     // number of host.sends whose outcomes are scheduled
+	requestRate    float64 // fraction of the sum of all balancers' rates
 }
 
-// fleetOutcome is the end of an attempt to come.
+// fleetOutcome is the outcome of an attempt, passed to its balancer when it is due.
 type fleetOutcome struct {
 	at       time.Duration
 	balancer *fleetBalancer
@@ -47,26 +47,26 @@
 	result   Result
 }
 
-// slowStartRun simulates a slowStartFleet, and counts what all balancers together send to each starting endpoint.
+// slowStartRun simulates a slowStartFleet, and records the attempts of all balancers at each starting endpoint.
 type slowStartRun struct {
 	fleet     slowStartFleet
 	cfg       Config
 	rng       *rand.Rand
 	balancers []*fleetBalancer
-	quota     float64 // requests per second of all tenants
+	quota     float64 // requests per second over all tenants
 
 	established, starting []Endpoint
-	startingIndex         map[EndpointID]int
-	notified              bool // the balancers know of the starting endpoints
+	startingIndex         map[EndpointID]int // index in starting
+	notified              bool               // the balancers have been notified of the starting endpoints
 
 	nextID   RequestID
-	attempts map[RequestID]int
-	outcomes []fleetOutcome    // in order of time
-	arrivals [][]time.Duration // of attempts at each starting endpoint
-	retries  int               // of these attempts
+	attempts map[RequestID]int // attempts sent so far for each request
+	outcomes []fleetOutcome    // ordered by time
+	arrivals [][]time.Duration // times of the attempts at each starting endpoint
+	retries  int               // number of retries among these attempts
 }
 
-// newSlowStartRun makes the balancers and endpoints of a fleet.
+// newSlowStartRun makes a simulation of a fleet with its balancers and endpoints.
 func newSlowStartRun(t *testing.T, fleet slowStartFleet, seed uint64) *slowStartRun {
 	t.Helper()
 	r := &slowStartRun{
@@ -103,8 +103,8 @@
 	}
 }
 
-// beginsAt returns when the balancers start.
-func (r *slowStartRun) beginsAt() time.Duration {
+// startTime returns when the balancers start.
+func (r *slowStartRun) startTime() time.Duration {
 	if r.fleet.balancersRestarted {
 		return endpointsStartAt + 200*ms
 	}
@@ -130,15 +130,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Start(r.beginsAt())
-		b.UpdateEndpoints(r.beginsAt(), CachedUpdate, list)
+		b.Start(r.startTime())
+		b.UpdateEndpoints(r.startTime(), CachedUpdate, list)
 		r.balancers = append(r.balancers, &fleetBalancer{Balancer: b, host: h, requestRate: rate / sum})
 	}
 }
 
 // run simulates until the slow start is over.
 func (r *slowStartRun) run() {
-	for now := r.beginsAt(); now < endpointsStartAt+r.cfg.SlowStartDuration; now += slowStartStep {
+	for now := r.startTime(); now < endpointsStartAt+r.cfg.SlowStartDuration; now += slowStartStep {
 		r.notify(now)
 		r.passOutcomes(now)
 		for i, b := range r.balancers {
@@ -148,12 +148,12 @@
 			}
 		}
 		for _, b := range r.balancers {
-			r.takeSends(now, b)
+			r.scheduleOutcomes(now, b)
 		}
 	}
 }
 
-// notify has all balancers learn at once of the starting endpoints.
+// notify notifies all balancers of the starting endpoints at the same time, 300 ms after these have started.
 func (r *slowStartRun) notify(now time.Duration) {
 	if r.notified || now < endpointsStartAt+300*ms {
 		return
@@ -164,6 +164,7 @@
 	}
 }
 
+// passOutcomes passes the outcomes that are due to their balancers.
 func (r *slowStartRun) passOutcomes(now time.Duration) {
 	for len(r.outcomes) > 0 && r.outcomes[0].at <= now {
 		o := r.outcomes[0]
@@ -172,6 +173,7 @@
 	}
 }
 
+// submitRequests passes a balancer its random number of requests of one step.
 func (r *slowStartRun) submitRequests(now time.Duration, b *fleetBalancer) {
 	expected := r.quota * r.fleet.load * b.requestRate * slowStartStep.Seconds()
 	for expected > 0 && r.rng.Float64() < expected {
@@ -181,10 +183,11 @@
 	}
 }
 
-// takeSends schedules the outcomes of the attempts that a balancer has sent, and counts those at starting endpoints.
-func (r *slowStartRun) takeSends(now time.Duration, b *fleetBalancer) {
-	for ; b.seen < len(b.host.sends); b.seen++ {
-		s := b.host.sends[b.seen]
+// scheduleOutcomes schedules the outcomes of the attempts that a balancer has sent since the last call, and records the
+// attempts at starting endpoints.
+func (r *slowStartRun) scheduleOutcomes(now time.Duration, b *fleetBalancer) {
+	for ; b.processedSends < len(b.host.sends); b.processedSends++ {
+		s := b.host.sends[b.processedSends]
 		o := fleetOutcome{now + slowStartLatency, b, s.id, r.attempts[s.id], Succeeded}
 		r.attempts[s.id]++
 		if i, starting := r.startingIndex[s.to]; starting {
@@ -195,20 +198,20 @@
 		} else if r.rng.Float64() < r.fleet.rejectedFraction {
 			o.at, o.result = now+slowStartStep, Rejected
 		}
-		r.schedule(o)
+		r.insertOutcome(o)
 	}
 }
 
-// schedule inserts an outcome behind those of the same time.
-func (r *slowStartRun) schedule(o fleetOutcome) {
+// insertOutcome inserts an outcome behind those that are due at the same time.
+func (r *slowStartRun) insertOutcome(o fleetOutcome) {
 	byTime := func(other fleetOutcome, at time.Duration) int { return int(other.at - at) }
 	at, _ := slices.BinarySearchFunc(r.outcomes, o.at+1, byTime)
 	r.outcomes = slices.Insert(r.outcomes, at, o)
 }
 
-// maxOverload returns the highest number of attempts that a starting endpoint got in any window, as a fraction of what
-// it bears: what it can do at the window's beginning, times the overload factor, and what is put down to chance. Above
-// 1 the endpoint fails.
+// maxOverload returns the highest number of attempts that any starting endpoint got in any window, as a fraction of the
+// number above which the endpoint fails: its capacity at the beginning of the window times the overload factor, plus a
+// margin for random variation.
 func (r *slowStartRun) maxOverload() (highest float64) {
 	for _, times := range r.arrivals {
 		for first, last := 0, 0; first < len(times); first++ {
@@ -217,16 +220,16 @@
 			}
 			age := float64(times[first]-endpointsStartAt) / float64(r.cfg.SlowStartDuration)
 			capacityFraction := r.cfg.SlowStartFraction + (1-r.cfg.SlowStartFraction)*age
-			n := r.cfg.OverloadFactor * endpointCapacity * overloadWindow.Seconds() * capacityFraction
-			highest = max(highest, float64(last-first)/(n+2*math.Sqrt(n)+2))
+			limit := r.cfg.OverloadFactor * endpointCapacity * overloadWindow.Seconds() * capacityFraction
+			highest = max(highest, float64(last-first)/(limit+2*math.Sqrt(limit)+2))
 		}
 	}
 	return highest
 }
 
-// An endpoint in slow start fails by the sum of what all balancers send it, so the slow start of each has to be slow
-// enough for all: for few and for many, with even and uneven traffic, in a fleet that has just been restarted and has
-// received no message yet, and for retries as well as first attempts.
+// The attempts of all balancers together must not overload an endpoint in slow start, so each balancer has to send slowly
+// enough: with few and with many balancers, with even and uneven traffic, in a fleet that has just been restarted and has
+// received no gossip yet, and for retries as well as first attempts.
 func TestSlowStartOverFleet(t *testing.T) {
 	for _, balancers := range []int{2, 20, 30, 300} {
 		for _, c := range []struct {
@@ -255,14 +258,14 @@
 			c.fleet.balancers = balancers
 			t.Run(fmt.Sprintf("balancers=%d/%s", balancers, c.name), func(t *testing.T) {
 				highest, retries := math.Inf(-1), 0
-				for seed := range uint64(1 + 60/(balancers+20)) { // fewer for large fleets: each is a mean already
+				for seed := range uint64(1 + 60/(balancers+20)) { // fewer runs for large fleets: each run averages over many balancers
 					run := newSlowStartRun(t, c.fleet, seed)
 					run.run()
 					highest, retries = max(highest, run.maxOverload()), retries+run.retries
 				}
 				t.Logf("highest load %.2f, %d retries", highest, retries)
 				if highest > 1 {
-					t.Errorf("an endpoint in slow start got %.2f times what it bears", highest)
+					t.Errorf("load of an endpoint in slow start = %.2f of what makes it fail, want at most 1", highest)
 				}
 			})
 		}
--- a/policy/slowstartservice_test.go
+++ b/policy/slowstartservice_test.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	serviceTime        = 30 * ms // of a request at any endpoint of a coldService
-	serviceStep        = 5 * ms
-	serviceRequestRate = 75 // per second
-	serviceWindow      = 10 * time.Second
-	minServedInWindow  = 250 // of 750 requests: the settings allow the endpoints together more than twice as much
-	serviceBegins      = 1000 * time.Second
+	serviceTime        = 30 * ms          // latency of a request at any endpoint of a coldService
+	serviceStep        = 5 * ms           // time step of the simulation
+	serviceRequestRate = 75               // per second
+	serviceWindow      = 10 * time.Second // over which the served requests are counted
+	minServedInWindow  = 250              // of 750 requests; slow start allows more than twice as many
+	serviceStartsAt    = 1000 * time.Second
 )
 
-// coldService is one balancer before endpoints that are all told of as just started.
+// coldService simulates a single balancer and its endpoints, most or all of which have just started.
 type coldService struct {
-	t        *testing.T
-	balancer *Balancer
-	host     *fakeHost
-	now      time.Duration
-	requests RequestID
-	seen     int            // sends whose outcomes are scheduled
-	outcomes []fleetOutcome // in order of time
-	served   []sentAttempt
-	servedAt []time.Duration
+	t              *testing.T
+	balancer       *Balancer
+	host           *fakeHost
+	now            time.Duration
+	requests       RequestID      // number of requests so far, and ID of the next one
+	processedSends int            // number of host.sends whose outcomes are scheduled
+	outcomes       []fleetOutcome // ordered by time
+	served         []sentAttempt
+	servedAt       []time.Duration
 }
 
-// coldServiceConfig is that of a single balancer whose endpoints start slowly.
+// coldServiceConfig returns the configuration of a single balancer whose endpoints have a long slow start.
 func coldServiceConfig() Config {
 	return Config{
 		Balancers:         1,
@@ -53,41 +53,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Start(serviceBegins)
-	return &coldService{t: t, balancer: b, host: h, now: serviceBegins}
+	b.Start(serviceStartsAt)
+	return &coldService{t: t, balancer: b, host: h, now: serviceStartsAt}
 }
 
-// update passes a list of six endpoints in a state, with the first warm ones started long ago and the others now.
-func (s *coldService) update(kind UpdateKind, state EndpointState, warm int) {
+// update passes an update with six endpoints in the given state. The first established ones started long ago, the others
+// start now.
+func (s *coldService) update(kind UpdateKind, state EndpointState, established int) {
 	list := ready(1, 2, 3, 4, 5, 6)
 	for i := range list {
 		list[i].State = state
-		if i >= warm {
+		if i >= established {
 			list[i].StartedAt = s.now
 		}
 	}
 	s.balancer.UpdateEndpoints(s.now, kind, list)
 }
 
-// run passes requests and outcomes for a time, and returns how many requests were served in it.
+// run passes requests and outcomes for a duration, and returns the number of requests served in it.
 func (s *coldService) run(d time.Duration) int {
 	before := len(s.served)
 	for end := s.now + d; s.now < end; s.now += serviceStep {
 		s.passOutcomes()
 		s.balancer.TimerFired(s.now)
-		for range int(serviceRequestRate*(s.now-serviceBegins+serviceStep)/time.Second) - int(s.requests) {
+		for range int(serviceRequestRate*(s.now-serviceStartsAt+serviceStep)/time.Second) - int(s.requests) {
 			s.balancer.Request(s.now, Request{ID: s.requests, Timeout: 3 * time.Second})
 			s.requests++
 		}
-		for _, sent := range s.host.sends[s.seen:] {
+		for _, sent := range s.host.sends[s.processedSends:] {
 			s.outcomes = append(s.outcomes, fleetOutcome{at: s.now + serviceTime, id: sent.id})
 		}
-		s.seen = len(s.host.sends)
+		s.processedSends = len(s.host.sends)
 	}
 	return len(s.served) - before
 }
 
-// passOutcomes passes the outcomes that are due. Each request has one attempt, as all of them succeed.
+// passOutcomes passes the outcomes that are due. Each request has only one attempt, as all attempts succeed.
 func (s *coldService) passOutcomes() {
 	for len(s.outcomes) > 0 && s.outcomes[0].at <= s.now {
 		o := s.outcomes[0]
@@ -99,22 +100,22 @@
 	}
 }
 
-// A service whose endpoints all start at once was starved: each endpoint's first send was drawn with the ready weight
-// from before the list, which was 0, so up to 100 s ahead. The same endpoints that come back later, without the empty
-// list, are sent what slow start allows.
+// When all endpoints of a service started at once, they got almost no requests: the time of the first send to each was
+// drawn with the ready weight from before the list, which was 0, and so was up to 100 s ahead. Whatever updates come
+// first, the endpoints must get the requests that slow start allows.
 func TestServiceThatStartsAtOnceIsServed(t *testing.T) {
-	for name, begin := range map[string]func(s *coldService){
+	for name, prepare := range map[string]func(s *coldService){
 		"first list": func(s *coldService) { s.update(FullUpdate, Ready, 0) },
-		"cached list, then the same": func(s *coldService) {
+		"cached list, then the same list": func(s *coldService) {
 			s.update(CachedUpdate, Ready, 0)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"empty cached list, then all": func(s *coldService) {
+		"empty cached list, then all endpoints": func(s *coldService) {
 			s.balancer.UpdateEndpoints(s.now, CachedUpdate, nil)
 			s.run(time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"all removed, then back": func(s *coldService) {
+		"all removed, then restarted": func(s *coldService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			s.update(DeltaUpdate, Removed, 6)
@@ -128,14 +129,14 @@
 			s.run(2 * time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"an empty complete list, then all": func(s *coldService) {
+		"empty full update, then all endpoints": func(s *coldService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			s.balancer.UpdateEndpoints(s.now, FullUpdate, nil)
 			s.run(2 * time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"half of them removed, then back": func(s *coldService) {
+		"half of them removed, then restarted": func(s *coldService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			list := ready(1, 2, 3)
@@ -146,7 +147,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newColdService(t, coldServiceConfig())
-			begin(s)
+			prepare(s)
 			n := s.run(serviceWindow)
 			t.Logf("%d requests served", n)
 			if n < minServedInWindow {
@@ -154,15 +155,15 @@
 			}
 			for id := EndpointID(1); id <= 6; id++ {
 				if !slices.ContainsFunc(s.served, func(a sentAttempt) bool { return a.to == id }) {
-					t.Errorf("endpoint %d got no request", id)
+					t.Errorf("endpoint %d served no request, want at least one", id)
 				}
 			}
 		})
 	}
 }
 
-// All endpoints start at once, and the balancers' lists were empty until then, or the balancers start after them. Each
-// endpoint must get no more from all balancers together than it bears in slow start.
+// All endpoints start at once, either while the balancers' lists are empty or before the balancers start. All balancers
+// together must not overload any endpoint in slow start.
 func TestSlowStartOfAllEndpointsOverFleet(t *testing.T) {
 	for _, balancers := range []int{2, 20, 30, 300} {
 		for name, fleet := range map[string]slowStartFleet{
@@ -177,22 +178,22 @@
 			fleet.balancers = balancers
 			t.Run(fmt.Sprintf("balancers=%d/%s", balancers, name), func(t *testing.T) {
 				highest := math.Inf(-1)
-				for seed := range uint64(1 + 60/(balancers+20)) { // fewer for large fleets: each is a mean already
+				for seed := range uint64(1 + 60/(balancers+20)) { // fewer runs for large fleets: each run averages over many balancers
 					run := newSlowStartRun(t, fleet, seed)
 					run.run()
 					highest = max(highest, run.maxOverload())
 				}
 				t.Logf("highest load %.2f", highest)
 				if highest > 1 {
-					t.Errorf("an endpoint in slow start got %.2f times what it bears", highest)
+					t.Errorf("load of an endpoint in slow start = %.2f of what makes it fail, want at most 1", highest)
 				}
 			})
 		}
 	}
 }
 
-// All endpoints of a balancer's subset had just started, and the one that had not was left idle outside of it, until
-// the traffic had been measured and the subset selected anew. It has to take requests from the first moment.
+// All endpoints of a balancer's subset had just started. The only established endpoint was outside of the subset and got
+// no requests until the traffic had been measured and the subset selected again. It must get requests from the beginning.
 func TestWarmEndpointServesBesideThoseInSlowStart(t *testing.T) {
 	for balancer := range 6 {
 		for name, tenants := range map[string][]Tenant{
@@ -204,9 +205,9 @@
 				cfg.Tenants, cfg.Balancers, cfg.Index = tenants, 6, balancer
 				s := newColdService(t, cfg)
 				s.update(FullUpdate, Ready, 1)
-				const first, oneAtATime = 300 * ms, int(300 * ms / serviceTime)
-				if n := s.run(first); n < oneAtATime/2 {
-					t.Errorf("%d requests served in the first %v, want at least half of %d", n, first, oneAtATime)
+				const period, sequential = 300 * ms, int(300 * ms / serviceTime)
+				if n := s.run(period); n < sequential/2 {
+					t.Errorf("%d requests served in the first %v, want at least half of the %d that one endpoint can serve one at a time", n, period, sequential)
 				}
 			})
 		}
