--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// The requests admitted are admissionHeadroom times the recent goodput, plus minAdmitted.
+	// admissionHeadroom is the multiple of the recent goodput that is admitted.
 	admissionHeadroom = 1.5
-	// With fewer, a balancer with little traffic would reject requests after a single failure.
+	// minAdmitted is the number of requests admitted beyond that multiple. With fewer, a balancer
+	// with little traffic would reject requests after a single failure.
 	minAdmitted = 1.5
-	// Time constant of the decay of the counts, in mean latency objectives. It covers most responses
-	// that meet their objective.
+	// admissionHorizon is the time constant of the decay of the counts, in mean latency objectives.
+	// It covers most responses that meet their objective.
 	admissionHorizon = 1.25
 )
 
@@ -25,10 +26,10 @@
 // admission sheds load. Bulkheads bound each balancer alone: when endpoints lack capacity, the
 // slots of thousands of balancers with little traffic each exceed what the endpoints can serve in
 // time, and the endpoints spend their work on late responses. So each balancer admits little more
-// than was recently answered in time: requests of the highest priority first, and lower priorities
-// with what remains. Every admitted request that is answered in time raises this amount, so classes
-// that were shed are admitted again once there is capacity, however often their clients retry in
-// the meantime.
+// than was recently answered in time: requests of the highest priority first, and those of lower
+// priorities from the remainder. Every admitted request that is answered in time raises this
+// amount, so classes that were shed are admitted again once there is capacity, however often their
+// clients retry in the meantime.
 type admission struct {
 	objective meanObjective
 	demand    []classDemand // by class
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -75,7 +75,7 @@
 	b.admission = newAdmission(cfg.Classes, b.objective)
 	b.gossip = newGossip(cfg, b.objective)
 	b.sizeBulkheads()
-	b.traffic.perSecond = cfg.evenShare(b.quota)
+	b.traffic.perSecond = cfg.equalShare(b.quota)
 	return b, nil
 }
 
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -14,12 +14,12 @@
 	// slotDeviations is the margin of the slots over the mean number of attempts in flight, in
 	// standard deviations, so that random variation alone causes no rejections.
 	slotDeviations = 2.0
-	// Without known quotas, slotsPerEndpoint attempts in flight over all balancers are assumed for
-	// each ready endpoint of the largest endpoint list so far.
+	// slotsPerEndpoint is the number of attempts in flight over all balancers that is assumed for
+	// each ready endpoint of the largest endpoint list so far if quotas are unknown.
 	slotsPerEndpoint = 3.0
-	// Queue places for each slot: just enough to keep the slots in use.
+	// queuePerSlot is the number of queue places for each slot: just enough to keep the slots in use.
 	queuePerSlot = 0.15
-	// Euler's constant: the largest of n random parts is expected to be (ln n + eulerGamma) times
+	// eulerGamma is Euler's constant: the largest of n random parts is expected to be (ln n + eulerGamma) times
 	// their mean.
 	eulerGamma = 0.58
 )
@@ -94,7 +94,7 @@
 
 // bulkheads holds the bulkheads of all tenants.
 type bulkheads struct {
-	byTenant        []bulkhead // by tenant
+	byTenant        []bulkhead // by Request.Tenant
 	slots           int        // over all bulkheads
 	roundRobinStart int        // bulkhead that was served first in the latest round
 }
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -9,7 +9,7 @@
 )
 
 // A tenant that floods the balancer must not take the slots of another tenant. Its excess requests are
-// rejected at once with a Retry-After, as their clients would wait in vain. A slot that becomes free goes to
+// rejected at once with a Retry-After, as they could not be served in time. A slot that becomes free goes to
 // the first request in the queue.
 func TestBulkheadSlotsAndQueue(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots, queue of 1
@@ -262,7 +262,7 @@
 	}
 }
 
-// A retry at the front of its queue has no endpoint left, because its request has been to all endpoints that
+// A retry at the front of its queue has no endpoint left, because its request has been sent to all endpoints that
 // its class allows. Requests of a higher priority behind it waited as long as it did, although there were
 // free slots and endpoints.
 func TestRetryWithoutEndpointDoesNotBlockQueue(t *testing.T) {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -14,11 +14,11 @@
 	// the square of that part.
 	unloadedThresholdFactor = 8.0
 
-	// maxCongestedFraction bounds such a threshold by its own square.
+	// maxCongestedFraction bounds that threshold: its square is the highest value.
 	maxCongestedFraction = 0.42
 
-	// uncongestedPerEndpoint is how many concurrent requests an endpoint can at
-	// least serve without congestion.
+	// uncongestedPerEndpoint is the number of concurrent requests that every
+	// endpoint is assumed to serve without congestion.
 	uncongestedPerEndpoint = 1.7
 
 	// uncongestedQuotaFactor estimates the same number from the quotas: it is this
--- a/policy/config.go
+++ b/policy/config.go
@@ -220,5 +220,5 @@
 	return c.Tenants
 }
 
-// evenShare returns the share of each balancer if a fleet-wide total is divided evenly.
-func (c *Config) evenShare(total float64) float64 { return total / float64(c.Balancers) }
+// equalShare returns the share of each balancer if a fleet-wide total is divided equally.
+func (c *Config) equalShare(total float64) float64 { return total / float64(c.Balancers) }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -60,7 +60,7 @@
 	othersInFlight float64       // other balancers' requests by that report; infinite if it is missing
 }
 
-// endpointSet is the endpoint list as last received, ordered by id.
+// endpointSet is the endpoint list as last received, ordered by ID.
 type endpointSet struct {
 	all            []*endpoint
 	readyWeight    float64 // total weight of the ready endpoints
@@ -73,7 +73,7 @@
 	return slices.BinarySearchFunc(s.all, id, byID)
 }
 
-// find returns the listed endpoint with the given id, or nil.
+// find returns the listed endpoint with the given ID, or nil.
 func (s *endpointSet) find(id EndpointID) *endpoint {
 	if i, found := s.search(id); found {
 		return s.all[i]
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// findOrAdd returns the endpoint with the given id. It adds the endpoint if it
+// findOrAdd returns the endpoint with the given ID. It adds the endpoint if it
 // is not listed yet.
 func (s *endpointSet) findOrAdd(id EndpointID) *endpoint {
 	i, found := s.search(id)
@@ -91,7 +91,7 @@
 	return s.all[i]
 }
 
-// ready returns the ready endpoints, ordered by id.
+// ready returns the ready endpoints, ordered by ID.
 func (s *endpointSet) ready() (ready []*endpoint) {
 	for _, e := range s.all {
 		if e.State == Ready {
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// ids returns the ids of endpoints, in order.
+// ids returns the IDs of endpoints, in order.
 func ids(endpoints []*endpoint) (ids []EndpointID) {
 	for _, e := range endpoints {
 		ids = append(ids, e.ID)
@@ -39,7 +39,7 @@
 	}
 	for _, id := range []EndpointID{0, 3, 10} {
 		if e := s.find(id); e != nil {
-			t.Errorf("find = endpoint %d for id %d, want nil for an id that is not listed", e.ID, id)
+			t.Errorf("find = endpoint %d for ID %d, want nil for an ID that is not listed", e.ID, id)
 		}
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -100,7 +100,8 @@
 	}
 	for _, rate := range []float64{1600, 2200} {
 		if without, with := goodput(rate, false), goodput(rate, true); with < without+0.01 {
-			t.Errorf("at %v requests per second: goodput = %.3f with gossip and %.3f without, want at least 0.01 more with gossip", rate, with, without)
+			t.Errorf("at %v requests per second: goodput = %.3f with gossip and %.3f without, want at least 0.01 more with gossip",
+				rate, with, without)
 		}
 	}
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -196,9 +196,10 @@
 	case 16, 17:
 		g.balancer.HealthChecked(now, EndpointID(g.rng.IntN(24)), !g.oneIn(5), g.randomReport())
 	case 18:
-		at := now - pickOne(g, 0, 5*ms, 30*ms, time.Hour)
+		sentAt := now - pickOne(g, 0, 5*ms, 30*ms, time.Hour)
 		congestion := pickOne(g, 0.01, 0.2, 1, 3, -1, math.NaN())
-		g.balancer.ReceiveGossip(now, g.rng.IntN(g.cfg.Balancers+1), GossipMessage{SentAt: at, RequestRate: pickOne(g, 1.0, 20, 300), Responses: float64(g.rng.IntN(20)), Congestion: congestion})
+		g.balancer.ReceiveGossip(now, g.rng.IntN(g.cfg.Balancers+1), GossipMessage{SentAt: sentAt,
+			RequestRate: pickOne(g, 1.0, 20, 300), Responses: float64(g.rng.IntN(20)), Congestion: congestion})
 	case 19:
 		id := RequestID(g.rng.Uint64N(uint64(g.latestID) + 2))
 		if g.oneIn(2) {
@@ -222,7 +223,9 @@
 	}
 	g.balancer = balancer
 	balancer.Start(host.now)
-	balancer.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{g.randomEndpoint(0, Ready), g.randomEndpoint(1, Ready), g.randomEndpoint(2, Ready), g.randomEndpoint(3, Ready), g.randomEndpoint(5, Ready)})
+	balancer.UpdateEndpoints(host.now, CachedUpdate, []Endpoint{
+		g.randomEndpoint(0, Ready), g.randomEndpoint(1, Ready), g.randomEndpoint(2, Ready),
+		g.randomEndpoint(3, Ready), g.randomEndpoint(5, Ready)})
 	for range 4000 {
 		g.step()
 	}
@@ -231,8 +234,9 @@
 		fmt.Fprintln(sum, line)
 	}
 	counters := balancer.Counters()
-	fmt.Fprintln(sum, counters.RoundRobinSends, counters.DivertedSends, counters.ConcurrencyLimited, counters.Shed, counters.CrossZoneSends, counters.Retries, counters.LateRejected, counters.Queued, counters.GossipSent, counters.GossipReceived,
-		counters.GossipDropped, counters.Rejected, counters.Failed)
+	fmt.Fprintln(sum, counters.RoundRobinSends, counters.DivertedSends, counters.ConcurrencyLimited, counters.Shed,
+		counters.CrossZoneSends, counters.Retries, counters.LateRejected, counters.Queued,
+		counters.GossipSent, counters.GossipReceived, counters.GossipDropped, counters.Rejected, counters.Failed)
 	return fmt.Sprintf("%016x", sum.Sum64()), len(host.lines)
 }
 
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -13,7 +13,7 @@
 
 	// idleBroadcastRounds is the number of consecutive rounds without responses to
 	// report of which only one broadcasts a message, to show that the balancer is
-	// alive.
+	// running.
 	idleBroadcastRounds = 4
 
 	// peerRateLifetime is how long the request rate in a peer's message is used, in
@@ -148,8 +148,9 @@
 }
 
 // congestion returns the fleet's congestion, or this balancer's own if there are
-// too few recent samples of the fleet. By its own, a balancer with little traffic
-// would mistake a single slow request for congestion of all endpoints.
+// too few recent samples of the fleet. With its own observations alone, a balancer
+// with little traffic would mistake a single slow request for congestion of all
+// endpoints.
 func (g *gossip) congestion(now time.Duration, own float64) float64 {
 	if !g.received || g.fleetResponses*g.decay(now) < minFleetSamples {
 		return own
--- a/policy/host.go
+++ b/policy/host.go
@@ -10,7 +10,7 @@
 // # Contract
 //
 // Times are durations since a fixed moment. All balancers use the same moment, and so does
-// Endpoint.StartedAt; on real sockets it is the Unix epoch. Time never goes backwards. All calls to
+// Endpoint.StartedAt; in the sidecar it is the Unix epoch. Time never goes backwards. All calls to
 // a Balancer come from one goroutine, in the order in which the events happened: New, Start,
 // UpdateEndpoints with the cached endpoint list, then any other event. The host reports exactly one
 // Outcome for each Host.Send, even if the request has been answered in the meantime. It calls
@@ -64,7 +64,7 @@
 
 // The kinds of health events.
 const (
-	EndpointDegraded  HealthEventKind = iota // slow or failing; selected less often
+	EndpointDegraded  HealthEventKind = iota // slow or failing; picked less often
 	EndpointRecovered                        // responded after a long silence
 )
 
--- a/policy/idleclose_test.go
+++ b/policy/idleclose_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A draining or removed endpoint stops soon, and a request sent to it would be lost.
+// A draining or removed endpoint stops soon, and would not answer a request sent to it.
 func TestDrainingEndpointGetsNoAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -111,7 +111,7 @@
 }
 
 // awaitReport asks the next available endpoint for a load report if the latest
-// one is too old. It returns whether the request has to wait for the report.
+// one is too old. It reports whether the request has to wait for the report.
 // Among many balancers, the attempts that this one has in flight at an endpoint
 // show hardly anything about the endpoint's load.
 func (b *Balancer) awaitReport(now time.Duration, r *request) bool {
--- a/policy/loadreport_test.go
+++ b/policy/loadreport_test.go
@@ -61,7 +61,7 @@
 	}
 	b.HealthChecked(12*ms, h.healthChecks[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.healthChecks[1] {
-		t.Fatalf("sends %v: want one to the endpoint that has capacity", h.sends)
+		t.Fatalf("sends = %v, want one to the endpoint that has capacity", h.sends)
 	}
 	submit(b, time.Second, 2, idempotentClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
@@ -94,7 +94,7 @@
 	}
 	b.HealthChecked(2*ms, h.healthChecks[1], true, LoadReport{Fields: HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.healthChecks[1] {
-		t.Fatalf("sends %v: want one to the endpoint that has capacity", h.sends)
+		t.Fatalf("sends = %v, want one to the endpoint that has capacity", h.sends)
 	}
 }
 
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -15,8 +15,8 @@
 	latencyExponent = 1.5
 
 	// minRelativeLatency is the lowest relative latency that the picker uses. The
-	// highest is outlierLatency: an endpoint is always picked now and then, which
-	// shows when it has recovered.
+	// highest is outlierLatency: even a failing endpoint is picked from time to time,
+	// which shows when it has recovered.
 	minRelativeLatency = 0.5
 )
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -46,7 +46,7 @@
 // maxRequestTimeout caps Request.Timeout. A longer timeout makes no difference.
 const maxRequestTimeout = time.Hour
 
-// class holds the settings of a class and what was observed of its requests.
+// class holds the settings of a class and the observations of its requests.
 type class struct {
 	Class
 	index       int
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -36,7 +36,7 @@
 // be late or the retry budget is exhausted. A retry that cannot be sent at once is queued at the
 // front, as its request has already waited.
 //
-// A request is never sent to the same endpoint twice, so eligible and nextInTurn may leave no
+// A request is never sent to the same endpoint twice, so eligible and nextAvailable may leave no
 // endpoint for a queued retry. It is then ended by serveQueue or expireRequest.
 func (b *Balancer) retry(now time.Duration, r *request) {
 	denied := len(r.attempts) >= b.cfg.MaxAttempts ||
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -95,7 +95,7 @@
 }
 
 // A rejected attempt leaves no idempotency key behind, so the retry need not stay in its zone: with no other
-// endpoint ready there, the request would be lost without need. The first attempt that may have run
+// endpoint ready there, a safe retry would be omitted. The first attempt that may have run
 // determines the zone.
 func TestDedupScopeIgnoresAttemptsThatNeverRan(t *testing.T) {
 	list := []Endpoint{{ID: 1, State: Ready, Weight: 1, Zone: 0}, {ID: 2, State: Ready, Weight: 1, Zone: 1},
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -127,7 +127,8 @@
 		c.t.Fatalf("non-idempotent request %d sent again although it may have run", r.ID)
 	case IdempotentByKey:
 		if c.now-first.sentAt >= class.DedupWindow {
-			c.t.Fatalf("request %d, idempotent by key, sent again %v after its first attempt, outside its deduplication window", r.ID, c.now-first.sentAt)
+			c.t.Fatalf("request %d, idempotent by key, sent again %v after its first attempt, outside its deduplication window",
+				r.ID, c.now-first.sentAt)
 		}
 		otherZone := class.DedupScope == DedupInZone && e.Zone != first.endpoint.Zone
 		otherCell := class.DedupScope == DedupInCell && e.Cell != first.endpoint.Cell
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -53,7 +53,7 @@
 // rate, derived from its attempts in flight, replaces its share of the quotas.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint) time.Duration {
 	demand := float64(max(b.inFlight, minInFlightForDemand)) / b.meanLatency.Seconds()
-	rate := b.endpoints.proportion(cmp.Or(b.cfg.evenShare(b.quota), demand), e)
+	rate := b.endpoints.proportion(cmp.Or(b.cfg.equalShare(b.quota), demand), e)
 	rate = rate * b.endpoints.readyWeight / max(b.subset.weight, e.Weight) * b.capacityFraction(now, e)
 	rate = max(rate*slowStartUtilization*max(b.cfg.OverloadFactor, minOverloadFactor), minSlowStartRate)
 	return time.Duration(float64(time.Second) / rate)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -17,7 +17,7 @@
 			cfg.Balancers = balancers
 			list := ready(1, 2)
 			b, h := start(t, cfg, list)
-			list[0].StartedAt = 10 * time.Second // restarted under the same id
+			list[0].StartedAt = 10 * time.Second // restarted under the same ID
 			b.UpdateEndpoints(10*time.Second, DeltaUpdate, list[:1])
 			id := RequestID(0)
 			inFirstSecond := 0
--- a/policy/slowstartfleet_test.go
+++ b/policy/slowstartfleet_test.go
@@ -258,7 +258,8 @@
 			c.fleet.balancers = balancers
 			t.Run(fmt.Sprintf("balancers=%d/%s", balancers, c.name), func(t *testing.T) {
 				highest, retries := math.Inf(-1), 0
-				for seed := range uint64(1 + 60/(balancers+20)) { // fewer runs for large fleets: each run averages over many balancers
+				// Large fleets need fewer runs, because each run averages over many balancers.
+				for seed := range uint64(1 + 60/(balancers+20)) {
 					run := newSlowStartRun(t, c.fleet, seed)
 					run.run()
 					highest, retries = max(highest, run.maxOverload()), retries+run.retries
--- a/policy/slowstartservice_test.go
+++ b/policy/slowstartservice_test.go
@@ -178,7 +178,8 @@
 			fleet.balancers = balancers
 			t.Run(fmt.Sprintf("balancers=%d/%s", balancers, name), func(t *testing.T) {
 				highest := math.Inf(-1)
-				for seed := range uint64(1 + 60/(balancers+20)) { // fewer runs for large fleets: each run averages over many balancers
+				// Large fleets need fewer runs, because each run averages over many balancers.
+				for seed := range uint64(1 + 60/(balancers+20)) {
 					run := newSlowStartRun(t, fleet, seed)
 					run.run()
 					highest = max(highest, run.maxOverload())
@@ -207,7 +208,8 @@
 				s.update(FullUpdate, Ready, 1)
 				const period, sequential = 300 * ms, int(300 * ms / serviceTime)
 				if n := s.run(period); n < sequential/2 {
-					t.Errorf("%d requests served in the first %v, want at least half of the %d that one endpoint can serve one at a time", n, period, sequential)
+					t.Errorf("%d requests served in the first %v, want at least half of the %d that one endpoint can serve one at a time",
+						n, period, sequential)
 				}
 			})
 		}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -45,7 +45,7 @@
 	return size > (1+resizeTolerance)*s.size || size < (1-resizeTolerance)*s.size
 }
 
-// selectSubset selects the subset anew. Endpoints in slow start can take hardly
+// selectSubset selects the subset again. Endpoints in slow start can take hardly
 // any requests. If the subset has no others, it is extended up to the next
 // endpoint that is not in slow start, within maxSlowStartExtension.
 func (b *Balancer) selectSubset(now time.Duration) {
