--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -9,7 +9,7 @@
 )
 
 // A tenant that floods the balancer must not take the slots of another tenant. Its excess requests are
-// rejected at once with a Retry-After, as their clients would wait in vain. A slot that becomes free goes to
+// rejected at once with a Retry-After, as they could not be served in time. A slot that becomes free goes to
 // the first request in the queue.
 func TestBulkheadSlotsAndQueue(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots, queue of 1
@@ -167,9 +167,9 @@
 }
 
 func TestBulkheadFull(t *testing.T) {
-	for used, want := range []bool{false, false, true, true} {
-		t.Run(fmt.Sprintf("%d of 2 used", used), func(t *testing.T) {
-			h := bulkhead{slots: 2, slotsInUse: used}
+	for slotsInUse, want := range []bool{false, false, true, true} {
+		t.Run(fmt.Sprintf("%d of 2 slots in use", slotsInUse), func(t *testing.T) {
+			h := bulkhead{slots: 2, slotsInUse: slotsInUse}
 			if got := h.full(); got != want {
 				t.Errorf("full = %v, want %v", got, want)
 			}
@@ -262,7 +262,7 @@
 	}
 }
 
-// A retry at the front of its queue has no endpoint left, because its request has been to all endpoints that
+// A retry at the front of its queue has no endpoint left, because its request has been sent to all endpoints that
 // its class allows. Requests of a higher priority behind it waited as long as it did, although there were
 // free slots and endpoints.
 func TestRetryWithoutEndpointDoesNotBlockQueue(t *testing.T) {
