--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -6,208 +6,234 @@
 	"time"
 )
 
-// The bounds of the checks, from the platform's rules.
+// Bounds of the checks. They follow from the platform's rules.
 const (
-	clockSlack     = 50 * time.Millisecond  // each time limit is so much longer on sockets
-	answerGrace    = 500 * time.Millisecond // up to so long after its time a request still gets its response
-	goneGrace      = 100 * time.Millisecond // no attempt begins so long after the client has gone
-	timeoutSlack   = 150 * time.Millisecond // that an attempt may tell its server more than the client has left
-	stallLimit     = 3 * time.Second        // a client that stops in a request gets an error or a close
-	readyLimit     = 10 * time.Second
-	idleCloseAfter = 2 * time.Second        // a connection without an open request may be closed after this
-	afterStopGrace = 700 * time.Millisecond // a request that comes so long after SIGTERM has its response before SIGKILL
+	// Added to each time limit: times are observed at the other end of a socket.
+	timingTolerance = 50 * time.Millisecond
+	// A request must be answered at most this long after its timeout.
+	responseGrace = 500 * time.Millisecond
+	// No attempt may begin later than this after its client disconnected.
+	disconnectGrace = 100 * time.Millisecond
+	// An attempt's X-Timeout header may exceed the client's remaining time by this much.
+	timeoutTolerance = 150 * time.Millisecond
+	// A client that stops sending in the middle of a request must get an error or a close within this time.
+	stalledClientTimeout = 3 * time.Second
+	// The sidecar must be ready within this time of its start.
+	maxReadyDelay = 10 * time.Second
+	// A connection without an open request may be closed once it has been idle for this long.
+	minIdleClose = 2 * time.Second
+	// A request that is sent later than this after SIGTERM must be answered before SIGKILL.
+	shutdownResponseDelay = 700 * time.Millisecond
 
-	servedWindow      = 2 * time.Second // in which a share of the requests is served
+	// In each servedWindow in which minWindowRequests are sent, at least minServedFraction of the requests
+	// must be served.
+	servedWindow      = 2 * time.Second
 	minServedFraction = 0.2
 	minWindowRequests = 20
 )
 
-// checker goes through a journal.
+// checker looks for violations in the journal of a finished run.
 type checker struct {
-	plan     *Plan
-	journal  *journal
-	slack    time.Duration // that the machine's stalls and the run's own suspensions add to bounds
-	findings []Finding
+	plan    *Plan
+	journal *journal
+	// Added to each time limit: timingTolerance, the longest stall of the machine, and the time for which the
+	// run suspended the process.
+	tolerance time.Duration
+	findings  []Finding
 }
 
-// find enters a finding.
-func (c *checker) find(check string, at time.Time, format string, args ...any) {
-	c.findings = append(c.findings, Finding{check, at.Sub(c.journal.ready), fmt.Sprintf(format, args...)})
+// addFinding records a finding of a check.
+func (c *checker) addFinding(check string, at time.Time, format string, args ...any) {
+	c.findings = append(c.findings, Finding{check, at.Sub(c.journal.readyAt), fmt.Sprintf(format, args...)})
 }
 
-// run makes all checks.
-func (c *checker) run() {
+// checkAll runs all checks.
+func (c *checker) checkAll() {
 	c.checkProcess()
 	c.checkResponses()
 	c.checkAttempts()
 	c.checkWithdrawals()
 	c.checkSlowStarts()
-	c.checkCalls()
+	c.checkListCalls()
 	c.checkStalledClients()
 	c.checkServedFraction()
 }
 
-// checkProcess: it is ready in time, does not end by itself, ends with status 0 after SIGTERM, and keeps its limits.
+// checkProcess checks that the process is ready in time, does not exit before SIGTERM, exits with status 0
+// after it, and stays within its limits of descriptors and memory.
 func (c *checker) checkProcess() {
 	j := c.journal
-	if took := j.ready.Sub(j.started); took > readyLimit+c.slack {
-		c.find("ready", j.ready, "ready after %v", took)
+	if took := j.readyAt.Sub(j.startedAt); took > maxReadyDelay+c.tolerance {
+		c.addFinding("ready", j.readyAt, "ready after %v", took)
 	}
-	if j.killed.IsZero() && (j.exited.Before(j.stopped) || j.exitError != nil) {
-		c.find("exit", j.exited, "ended with %v, SIGTERM at %d ms", j.exitError, j.stopped.Sub(j.ready).Milliseconds())
+	if j.killedAt.IsZero() && (j.exitedAt.Before(j.terminatedAt) || j.exitError != nil) {
+		c.addFinding("exit", j.exitedAt, "exited (error: %v), SIGTERM at %d ms",
+			j.exitError, j.terminatedAt.Sub(j.readyAt).Milliseconds())
 	}
-	if j.peak.descriptors > c.plan.Sockets {
-		c.find("descriptors", j.ready, "%d descriptors of %d", j.peak.descriptors, c.plan.Sockets)
+	if j.peakUsage.descriptors > c.plan.MaxDescriptors {
+		c.addFinding("descriptors", j.readyAt, "%d descriptors open, limit %d",
+			j.peakUsage.descriptors, c.plan.MaxDescriptors)
 	}
-	if j.peak.memoryKB > memoryMB<<10 {
-		c.find("memory", j.ready, "%d KB", j.peak.memoryKB)
+	if j.peakUsage.memoryKB > memoryLimitMB<<10 {
+		c.addFinding("memory", j.readyAt, "%d KB resident, above the limit", j.peakUsage.memoryKB)
 	}
 }
 
-// lastMoment is when the process has ended, or got SIGKILL.
-func (c *checker) lastMoment() time.Time {
-	if !c.journal.killed.IsZero() {
-		return c.journal.killed
+// processEnd returns when the process exited, or when it got SIGKILL.
+func (c *checker) processEnd() time.Time {
+	if !c.journal.killedAt.IsZero() {
+		return c.journal.killedAt
 	}
-	return c.journal.exited
+	return c.journal.exitedAt
 }
 
-// checkResponses: each request has one whole response in time, and 200 only with a body made for it.
+// checkResponses checks that each request gets one complete response in time, and status 200 only with a body
+// that a server sent for that request.
 func (c *checker) checkResponses() {
-	made := make(map[string]map[string]bool) // bodies by request
+	serverBodies := make(map[string]map[string]bool) // bodies that servers sent, by request
 	for _, a := range c.journal.attempts {
-		if made[a.id] == nil {
-			made[a.id] = make(map[string]bool)
+		if serverBodies[a.id] == nil {
+			serverBodies[a.id] = make(map[string]bool)
 		}
-		made[a.id][a.body] = a.body != ""
+		serverBodies[a.id][a.responseBody] = a.responseBody != ""
 	}
 	for _, r := range c.journal.requests {
-		if r.status == 200 && !made[r.id][r.body] {
-			c.find("body", r.ended, "%s got %q, which no server made for it", r.id, r.body)
+		if r.status == 200 && !serverBodies[r.id][r.body] {
+			c.addFinding("body", r.endedAt, "request %s got body %q, which no server sent for it", r.id, r.body)
 		}
-		if r.disconnected.IsZero() {
+		if r.disconnectedAt.IsZero() {
 			c.checkAnswered(r)
 		}
 	}
 }
 
-// checkAnswered checks that a request was answered in time, or need not have been.
+// checkAnswered checks that a request was answered in time, unless it need not be answered.
 //
-// Of a request behind another one the time counts from that one's response: responses come in the order of the requests.
-// Without that response this one is not missed by itself.
+// Responses come in the order of the requests, so the timeout of a pipelined request counts from the response
+// to the previous request. If that response is missing, the check reports only the previous request.
 func (c *checker) checkAnswered(r *clientRequest) {
-	last := c.lastMoment()
-	turn := r.sent
-	if r.behind != nil {
-		if !r.behind.answered {
+	last := c.processEnd()
+	timeoutFrom := r.sentAt
+	if r.previous != nil {
+		if !r.previous.answered {
 			return
 		}
-		turn = r.behind.ended
+		timeoutFrom = r.previous.endedAt
 	}
-	due := turn.Add(r.timeout + answerGrace + c.slack)
+	due := timeoutFrom.Add(r.timeout + responseGrace + c.tolerance)
 	switch {
-	case r.answered && r.ended.After(due):
-		c.find("late", r.ended, "%s (%s) answered %v after its time", r.id, r.class, r.ended.Sub(turn.Add(r.timeout)))
+	case r.answered && r.endedAt.After(due):
+		c.addFinding("late", r.endedAt, "request %s (class %s) answered %v after its timeout",
+			r.id, r.class, r.endedAt.Sub(timeoutFrom.Add(r.timeout)))
 	case r.answered:
-	case c.journal.killed.IsZero() && r.sent.Before(last): // it ended by itself: whatever it had taken is lost
-		c.findUnanswered(r, "the process ended")
+	case c.journal.killedAt.IsZero() && r.sentAt.Before(last):
+		// It exited without SIGKILL, so it must have answered what it accepted.
+		c.addUnanswered(r, "the process exited")
 	case due.Before(last):
-		c.findUnanswered(r, "its time was over")
-	case r.sent.After(c.journal.stopped.Add(afterStopGrace+c.slack)) && r.sent.Before(last.Add(-c.slack)):
-		c.findUnanswered(r, "it came after SIGTERM, before SIGKILL")
-	case !r.ended.IsZero() && r.ended.Before(last.Add(-c.slack)):
-		c.findUnanswered(r, "its connection ended")
+		c.addUnanswered(r, "its timeout has passed")
+	case r.sentAt.After(c.journal.terminatedAt.Add(shutdownResponseDelay+c.tolerance)) && r.sentAt.Before(last.Add(-c.tolerance)):
+		c.addUnanswered(r, "it was sent after SIGTERM, well before SIGKILL")
+	case !r.endedAt.IsZero() && r.endedAt.Before(last.Add(-c.tolerance)):
+		c.addUnanswered(r, "its connection was closed")
 	}
 }
 
-// findUnanswered enters that a request has no response, unless the close of its connection may have crossed it: idle
-// connections may be closed after a time, and beside a flood of idle clients at any.
-func (c *checker) findUnanswered(r *clientRequest, why string) {
-	crossed := !r.ended.IsZero() && r.ended.Sub(r.sent) < c.slack
-	if crossed && (c.plan.IdleFlood || r.idle > idleCloseAfter-c.slack) {
+// addUnanswered records that a request got no response, unless the close of its connection may have crossed
+// the request. The sidecar may close connections that have been idle for a time, and any idle connection
+// during a flood of idle clients.
+func (c *checker) addUnanswered(r *clientRequest, why string) {
+	closedAtOnce := !r.endedAt.IsZero() && r.endedAt.Sub(r.sentAt) < c.tolerance
+	if closedAtOnce && (c.plan.IdleFlood || r.idleBefore > minIdleClose-c.tolerance) {
 		return
 	}
-	c.find("unanswered", r.sent, "%s (%s, timeout %v, connection %d) has no response, %s: %s after %v",
-		r.id, r.class, r.timeout, r.conn, why, r.failure, r.ended.Sub(r.sent))
+	c.addFinding("unanswered", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s): %s after %v",
+		r.id, r.class, r.timeout, r.connNumber, why, r.failure, r.endedAt.Sub(r.sentAt))
 }
 
-// checkAttempts: nothing runs twice that must not, nothing begins for a client that has gone, and no server is told
-// of more time than there is.
+// checkAttempts checks that no request runs twice unless its class permits it, that no attempt begins after
+// its client disconnected, and that no server receives a timeout beyond the client's remaining time.
 func (c *checker) checkAttempts() {
 	requests := make(map[string]*clientRequest)
 	for _, r := range c.journal.requests {
 		requests[r.id] = r
 	}
-	effective := make(map[string]*attempt) // the first that may have run, by request
+	firstRuns := make(map[string]*attempt) // the first attempt that may have run, by request
 	for _, a := range c.journal.attempts {
-		if first := effective[a.id]; first != nil {
+		if first := firstRuns[a.id]; first != nil {
 			c.checkRepeat(first, a)
-		} else if a.mayRun {
-			effective[a.id] = a
+		} else if a.mayHaveRun {
+			firstRuns[a.id] = a
 		}
 		r := requests[a.id]
 		if r == nil {
-			continue // not sent whole, and entered by nobody: its client has gone
+			continue // not recorded: its client failed to send it completely and disconnected
 		}
-		if !r.disconnected.IsZero() && a.begun.After(r.disconnected.Add(goneGrace+c.slack)) {
-			c.find("client gone", a.begun, "%s sent %v after its client left", a.id, a.begun.Sub(r.disconnected))
+		if !r.disconnectedAt.IsZero() && a.startedAt.After(r.disconnectedAt.Add(disconnectGrace+c.tolerance)) {
+			c.addFinding("attempt after disconnect", a.startedAt, "request %s sent to a server %v after its client disconnected",
+				a.id, a.startedAt.Sub(r.disconnectedAt))
 		}
-		remaining := r.sent.Add(r.timeout).Sub(a.begun)
-		if a.timeout > max(remaining, 0)+timeoutSlack+c.slack {
-			c.find("timeout told", a.begun, "%s told a server %v, with %v left", a.id, a.timeout, remaining)
+		remaining := r.sentAt.Add(r.timeout).Sub(a.startedAt)
+		if a.timeout > max(remaining, 0)+timeoutTolerance+c.tolerance {
+			c.addFinding("timeout header", a.startedAt, "attempt of request %s announced a timeout of %v, with %v remaining",
+				a.id, a.timeout, remaining)
 		}
 	}
 }
 
-// checkRepeat checks an attempt after one that may have run.
+// checkRepeat checks that an attempt was permitted after an earlier attempt that may have run.
 func (c *checker) checkRepeat(first, repeat *attempt) {
 	zone := func(a *attempt) int { return a.server % 2 }
 	cell := func(a *attempt) int { return a.server % 3 }
 	switch {
-	case first.class == classUnsafe:
-		c.find("duplicate", repeat.begun, "%s at servers %d and %d", first.id, first.server, repeat.server)
-	case first.class != classKeyed:
-	case repeat.begun.Sub(first.begun) > c.plan.Window+c.slack:
-		c.find("window", repeat.begun, "%s repeated after %v", first.id, repeat.begun.Sub(first.begun))
-	case c.plan.Scope == "zone" && zone(first) != zone(repeat), c.plan.Scope == "cell" && cell(first) != cell(repeat):
-		c.find("scope", repeat.begun, "%s repeated at server %d after %d", first.id, repeat.server, first.server)
+	case first.class == classNonIdempotent:
+		c.addFinding("duplicate", repeat.startedAt, "non-idempotent request %s sent to servers %d and %d",
+			first.id, first.server, repeat.server)
+	case first.class != classIdempotentByKey:
+	case repeat.startedAt.Sub(first.startedAt) > c.plan.DedupWindow+c.tolerance:
+		c.addFinding("window", repeat.startedAt, "request %s repeated %v after its first attempt",
+			first.id, repeat.startedAt.Sub(first.startedAt))
+	case c.plan.DedupScope == "zone" && zone(first) != zone(repeat), c.plan.DedupScope == "cell" && cell(first) != cell(repeat):
+		c.addFinding("scope", repeat.startedAt, "request %s repeated at server %d, first sent to server %d",
+			first.id, repeat.server, first.server)
 	}
 }
 
-// checkWithdrawals: nothing new at a server once its withdrawal counts as notified, and the grace is over.
+// checkWithdrawals checks that a server gets no new attempt once its withdrawal counts as notified and the
+// drain grace has passed.
 func (c *checker) checkWithdrawals() {
-	for _, l := range c.journal.withdrawals {
-		notified := l.notified
-		if notified.IsZero() || !l.forced.IsZero() && l.forced.Before(notified) {
-			notified = l.forced
+	for _, w := range c.journal.withdrawals {
+		notified := w.notifiedAt
+		if notified.IsZero() || !w.notifyDeadline.IsZero() && w.notifyDeadline.Before(notified) {
+			notified = w.notifyDeadline
 		}
 		if notified.IsZero() {
 			continue
 		}
-		limit := notified.Add(drainGrace + c.slack)
+		limit := notified.Add(drainGrace + c.tolerance)
 		for _, a := range c.journal.attempts {
-			back := !l.until.IsZero() && a.begun.After(l.until)
-			if a.server == l.server && a.begun.After(limit) && !back {
-				c.find("withdrawn server", a.begun, "%s sent to server %d %v after its withdrawal counts as notified", a.id, a.server, a.begun.Sub(notified))
+			returned := !w.returnedAt.IsZero() && a.startedAt.After(w.returnedAt)
+			if a.server == w.server && a.startedAt.After(limit) && !returned {
+				c.addFinding("withdrawn server", a.startedAt, "request %s sent to server %d %v after its withdrawal counted as notified",
+					a.id, a.server, a.startedAt.Sub(notified))
 			}
 		}
 	}
 }
 
-// checkSlowStarts: no server gets more in slow start than it bears, by its part of the quota, from a sidecar that was
-// notified of the start.
+// checkSlowStarts checks that no server in slow start is overloaded, given its share of the quota, once the
+// sidecar was notified of the start.
 func (c *checker) checkSlowStarts() {
 	if !c.plan.SlowStart {
 		return
 	}
-	capacity := quota / float64(c.plan.Servers)
+	capacity := tenantQuota / float64(c.plan.Servers)
 	for _, start := range c.journal.slowStarts {
-		if start.notified.IsZero() {
+		if start.notifiedAt.IsZero() {
 			continue
 		}
 		var times []time.Duration
 		for _, a := range c.journal.attempts {
-			if age := a.begun.Sub(start.at); a.server == start.server && a.begun.After(start.notified) && age < slowStartDuration {
+			if age := a.startedAt.Sub(start.startedAt); a.server == start.server && a.startedAt.After(start.notifiedAt) && age < slowStartDuration {
 				times = append(times, age)
 			}
 		}
@@ -215,22 +241,22 @@
 			for last < len(times) && times[last] < times[first]+overloadWindow {
 				last++
 			}
-			n := overloadFactor * capacity * meanCapacityFraction(times[first]) * overloadWindow.Seconds()
-			chance := 2*math.Sqrt(n) + 2
-			if n < 30 {
-				chance = 3*math.Sqrt(n) + 3
+			expected := overloadFactor * capacity * meanCapacityFraction(times[first]) * overloadWindow.Seconds()
+			deviation := 2*math.Sqrt(expected) + 2 // random variation of the number of requests
+			if expected < 30 {
+				deviation = 3*math.Sqrt(expected) + 3
 			}
-			if float64(last-first) > n+chance {
-				c.find("slow start", start.at, "server %d got %d requests in %v from %v on, %.0f and %.0f for chance are allowed",
-					start.server, last-first, overloadWindow, times[first], n, chance)
+			if float64(last-first) > expected+deviation {
+				c.addFinding("slow start", start.startedAt, "server %d got %d requests in the %v from %v after its start on, want at most %.0f plus %.0f for random variation",
+					start.server, last-first, overloadWindow, times[first], expected, deviation)
 				break
 			}
 		}
 	}
 }
 
-// meanCapacityFraction is the mean of the capacity that a server has over an overloadWindow from an age on, as a fraction:
-// it grows evenly to the full.
+// meanCapacityFraction returns the mean capacity, as a fraction of the full capacity, that a server has in an
+// overloadWindow that begins at the given age. During slow start the capacity grows linearly.
 func meanCapacityFraction(age time.Duration) float64 {
 	fraction := func(age time.Duration) float64 {
 		return min(1, slowStartFraction+(1-slowStartFraction)*age.Seconds()/slowStartDuration.Seconds())
@@ -238,58 +264,63 @@
 	return (fraction(age) + fraction(age+overloadWindow)) / 2
 }
 
-// checkCalls: the first call at another discovery than before asks for the full list.
-func (c *checker) checkCalls() {
-	for i, call := range c.journal.calls {
-		elsewhereBefore := i > 0 && c.journal.calls[i-1].discovery != call.discovery
-		if elsewhereBefore && call.query != "" && !c.fullSinceMove(call, c.journal.calls[:i]) {
-			c.find("first call", call.at, "discovery %d, called anew, was asked %q", call.discovery, call.query)
+// checkListCalls checks that the first call after a change of discovery requests the full list.
+func (c *checker) checkListCalls() {
+	for i, call := range c.journal.listCalls {
+		otherBefore := i > 0 && c.journal.listCalls[i-1].discovery != call.discovery
+		if otherBefore && call.query != "" && !c.requestedFullList(call, c.journal.listCalls[:i]) {
+			c.addFinding("first discovery call", call.at, "first call to discovery %d after a change had query %q, want the full list (no query)",
+				call.discovery, call.query)
 		}
 	}
 }
 
-// fullSinceMove tells whether the full list was asked for at a call's discovery since a configuration has named that. A
-// call at the other one may be entered in between: it was on its way.
-func (c *checker) fullSinceMove(call listCall, before []listCall) bool {
-	var moved time.Time
-	for _, m := range c.journal.moves {
-		if m.to == call.discovery && m.at.Before(call.at) {
-			moved = m.at
+// requestedFullList reports whether one of the calls before a call requested the full list from the same
+// discovery, since the last configuration that named that discovery. A call to the other discovery may be
+// recorded in between: it was sent before the change.
+func (c *checker) requestedFullList(call listCall, before []listCall) bool {
+	var changedAt time.Time
+	for _, change := range c.journal.discoveryChanges {
+		if change.to == call.discovery && change.at.Before(call.at) {
+			changedAt = change.at
 		}
 	}
-	for _, b := range before {
-		if b.discovery == call.discovery && b.query == "" && b.at.After(moved) {
+	for _, earlier := range before {
+		if earlier.discovery == call.discovery && earlier.query == "" && earlier.at.After(changedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkStalledClients: a client that stops in the middle of a request gets an error or a close.
+// checkStalledClients checks that a client that stops sending in the middle of a request gets an error or a
+// close in time.
 func (c *checker) checkStalledClients() {
 	if c.plan.IdleFlood {
-		return // it may wait to be accepted
+		return // a stalled client may have to wait until its connection is accepted
 	}
-	for _, s := range c.journal.stalls {
-		if s.waited > stallLimit+c.slack && s.opened.Add(s.waited).Before(c.lastMoment()) {
-			c.find("stalled client", s.opened, "neither answered nor closed for %v", s.waited)
+	for _, s := range c.journal.stalledClients {
+		if s.waited > stalledClientTimeout+c.tolerance && s.connectedAt.Add(s.waited).Before(c.processEnd()) {
+			c.addFinding("stalled client", s.connectedAt, "connection neither answered nor closed for %v",
+				s.waited)
 		}
 	}
 }
 
-// checkServedFraction: whenever half of the servers are well, a share of the requests is served.
+// checkServedFraction checks that enough requests are served in each window in which at least half of the
+// servers are healthy and no other fault excuses a low fraction.
 func (c *checker) checkServedFraction() {
 	if c.plan.IdleFlood || c.journal.suspended > 0 {
 		return
 	}
-	for from := c.journal.ready; from.Add(servedWindow).Before(c.journal.stopped); from = from.Add(servedWindow / 4) {
+	for from := c.journal.readyAt; from.Add(servedWindow).Before(c.journal.terminatedAt); from = from.Add(servedWindow / 4) {
 		window := interval{from, from.Add(servedWindow)}
-		if c.excused(window) {
+		if c.overlapsImpairment(window) {
 			continue
 		}
 		sent, served := 0, 0
 		for _, r := range c.journal.requests {
-			if r.disconnected.IsZero() && r.sent.After(window.from) && r.sent.Before(window.to.Add(-r.timeout)) {
+			if r.disconnectedAt.IsZero() && r.sentAt.After(window.from) && r.sentAt.Before(window.to.Add(-r.timeout)) {
 				sent++
 				if r.status == 200 {
 					served++
@@ -297,15 +328,15 @@
 			}
 		}
 		if sent >= minWindowRequests && float64(served) < minServedFraction*float64(sent) {
-			c.find("served fraction", from, "%d of %d requests in %v", served, sent, servedWindow)
+			c.addFinding("served fraction", from, "%d of %d requests served in %v", served, sent, servedWindow)
 		}
 	}
 }
 
-// excused tells whether a low share may be served in a part of a run.
-func (c *checker) excused(window interval) bool {
-	for _, u := range c.journal.impaired {
-		if u.from.Before(window.to) && window.from.Before(u.to) {
+// overlapsImpairment reports whether a fault excuses a low served fraction in some part of a window.
+func (c *checker) overlapsImpairment(window interval) bool {
+	for _, period := range c.journal.impaired {
+		if period.from.Before(window.to) && window.from.Before(period.to) {
 			return true
 		}
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -12,77 +12,83 @@
 	"time"
 )
 
-// The classes of requests, each with another effect of a repeat.
+// The classes of requests. They differ in whether a request may be repeated.
 const (
-	classSafe   = "look"   // may be repeated
-	classKeyed  = "update" // carries an idempotency key
-	classUnsafe = "order"  // must not run twice
+	classIdempotent      = "look"   // any number of repeats
+	classIdempotentByKey = "update" // servers drop repeats within the deduplication scope and window
+	classNonIdempotent   = "order"  // no repeats: the request must not run twice
 )
 
 const (
-	maxPause     = 120 * time.Millisecond // of a client between two requests
-	restTime     = 2 * time.Second        // of a client that rests on its connection
-	longPatience = 5 * time.Second        // of a client for a response that is overdue
-	pieceDelay   = 5 * time.Millisecond   // of a client that writes in pieces
+	// A client waits up to this long before each request.
+	maxRequestPause = 120 * time.Millisecond
+	// Now and then a client keeps its connection idle for this long.
+	idlePause = 2 * time.Second
+	// A client waits this long beyond a request's timeout for the response. A stalled client waits this long
+	// in all.
+	overdueWait = 5 * time.Second
+	// The delay between the two parts of a request that is written in parts.
+	partialWriteDelay = 5 * time.Millisecond
 )
 
-// clients stand in for the application: each client has a connection, sends requests on it and enters what becomes of them.
+// clients stands in for the application. Each client has one connection at a time, sends requests on it and
+// records the results.
 type clients struct {
 	plan    *Plan
 	address string
 	journal *journal
-	end     <-chan struct{} // closed when they are to stop
+	done    <-chan struct{} // closed to stop the clients
 
-	requests atomic.Int64
-	conns    atomic.Int64
+	requestCount atomic.Int64 // number of requests, from which request IDs derive
+	connCount    atomic.Int64 // number of connections
 }
 
-// client is one of them.
+// client is one of the clients.
 type client struct {
 	*clients
-	rng    *rand.Rand
-	number int // of its connection
-	conn   net.Conn
-	reader *bufio.Reader
-	idleAt time.Time // since when no request is open on it
+	rng        *rand.Rand
+	connNumber int      // number of the current connection
+	conn       net.Conn // nil: not connected
+	reader     *bufio.Reader
+	idleSince  time.Time // since when the connection has no open request
 }
 
-// run sends requests until the end.
-func (s *clients) run(number int) {
-	c := &client{clients: s, rng: rand.New(rand.NewPCG(s.plan.Seed, uint64(number)))}
+// runClient runs one client until the clients are stopped.
+func (cs *clients) runClient(number int) {
+	c := &client{clients: cs, rng: rand.New(rand.NewPCG(cs.plan.Seed, uint64(number)))}
 	defer c.disconnect()
-	for !c.ended() {
-		c.pause(time.Duration(c.rng.Int64N(int64(maxPause))))
+	for !c.isDone() {
+		c.pause(time.Duration(c.rng.Int64N(int64(maxRequestPause))))
 		if c.conn == nil && !c.connect() {
 			continue
 		}
 		switch n := c.rng.IntN(100); {
 		case n < 4:
-			c.pause(restTime) // rests on its connection
+			c.pause(idlePause) // keeps its connection idle
 		case n < 10:
 			c.disconnectEarly()
 		case n < 15:
 			c.pipeline()
 		default:
-			c.request(n < 25)
+			c.sendAndReceive(n < 25)
 		}
 	}
 }
 
-func (c *client) ended() bool {
+func (c *client) isDone() bool {
 	select {
-	case <-c.end:
+	case <-c.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// pause waits, at most until the end.
+// pause waits for a time, or until the clients are stopped.
 func (c *client) pause(d time.Duration) {
 	select {
 	case <-time.After(d):
-	case <-c.end:
+	case <-c.done:
 	}
 }
 
@@ -91,7 +97,7 @@
 	if err != nil {
 		return false
 	}
-	c.conn, c.reader, c.number, c.idleAt = conn, bufio.NewReader(conn), int(c.conns.Add(1)), time.Now()
+	c.conn, c.reader, c.connNumber, c.idleSince = conn, bufio.NewReader(conn), int(c.connCount.Add(1)), time.Now()
 	return true
 }
 
@@ -102,27 +108,27 @@
 	}
 }
 
-// newRequest draws a request, and returns it with its text.
+// newRequest draws a request and returns it with the bytes to send.
 func (c *client) newRequest() (*clientRequest, string) {
-	class := []string{classSafe, classKeyed, classUnsafe}[c.rng.IntN(3)]
+	class := []string{classIdempotent, classIdempotentByKey, classNonIdempotent}[c.rng.IntN(3)]
 	timeout := c.plan.Deadline * time.Duration(40+c.rng.IntN(61)) / 100
-	r := &clientRequest{id: fmt.Sprintf("r%d", c.requests.Add(1)), class: class, timeout: timeout, conn: c.number}
-	method, more := "GET", ""
-	if class != classSafe {
-		method, more = "POST", "Content-Length: 4\r\n"
+	r := &clientRequest{id: fmt.Sprintf("r%d", c.requestCount.Add(1)), class: class, timeout: timeout, connNumber: c.connNumber}
+	method, headers := "GET", ""
+	if class != classIdempotent {
+		method, headers = "POST", "Content-Length: 4\r\n"
 	}
-	if class == classKeyed {
-		more += "Idempotency-Key: k-" + r.id + "\r\n"
+	if class == classIdempotentByKey {
+		headers += "Idempotency-Key: k-" + r.id + "\r\n"
 	}
 	text := fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: service\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Tenant-Id: all\r\nX-Timeout: %dm\r\n%s\r\n",
-		method, class, r.id, class, timeout.Milliseconds(), more)
-	if class != classSafe {
+		method, class, r.id, class, timeout.Milliseconds(), headers)
+	if class != classIdempotent {
 		text += "body"
 	}
 	return r, text
 }
 
-// send writes requests at once, or in pieces, and enters them.
+// send writes the requests in text, at once or in two parts, and records them.
 func (c *client) send(text string, inPieces bool, requests ...*clientRequest) {
 	if inPieces {
 		half := len(text) / 2
@@ -130,23 +136,23 @@
 			c.disconnect()
 			return
 		}
-		time.Sleep(pieceDelay)
+		time.Sleep(partialWriteDelay)
 		text = text[half:]
 	}
 	_, err := io.WriteString(c.conn, text)
 	if err != nil {
-		c.disconnect() // nothing was taken
+		c.disconnect() // the sidecar did not accept the requests
 		return
 	}
 	now := time.Now()
 	for _, r := range requests {
-		r.sent, r.idle = now, now.Sub(c.idleAt)
+		r.sentAt, r.idleBefore = now, now.Sub(c.idleSince)
 		c.journal.addRequest(r)
 	}
 }
 
-// request sends a request and reads its response.
-func (c *client) request(inPieces bool) {
+// sendAndReceive sends a request and reads its response.
+func (c *client) sendAndReceive(inPieces bool) {
 	r, text := c.newRequest()
 	c.send(text, inPieces, r)
 	if c.conn != nil {
@@ -154,23 +160,24 @@
 	}
 }
 
-// receive reads the response to a request. It disconnects where the connection does not go on.
-func (c *client) receive(r *clientRequest) (goesOn bool) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(r.timeout + longPatience)) // fails only on a closed connection, as the read does
+// receive reads the response to a request and records it. It disconnects if the connection can't be reused,
+// and reports whether the connection stays open.
+func (c *client) receive(r *clientRequest) (open bool) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(r.timeout + overdueWait)) // fails only if the connection is closed
 	response, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(response.Body)
 	}
 	c.journal.update(func() {
-		r.ended = time.Now()
+		r.endedAt = time.Now()
 		if err != nil {
 			r.failure = err.Error()
 			return
 		}
 		r.answered, r.status, r.body = true, response.StatusCode, string(body)
 	})
-	c.idleAt = time.Now()
+	c.idleSince = time.Now()
 	if err != nil || response.Close {
 		c.disconnect()
 		return false
@@ -178,17 +185,17 @@
 	return true
 }
 
-// pipeline sends some requests at once and reads their responses in turn.
+// pipeline sends several requests at once and reads their responses in order.
 func (c *client) pipeline() {
 	var text strings.Builder
 	var requests []*clientRequest
 	for n := 2 + c.rng.IntN(3); n > 0; n-- {
-		r, one := c.newRequest()
+		r, requestText := c.newRequest()
 		if len(requests) > 0 {
-			r.behind = requests[len(requests)-1]
+			r.previous = requests[len(requests)-1]
 		}
 		requests = append(requests, r)
-		text.WriteString(one)
+		text.WriteString(requestText)
 	}
 	c.send(text.String(), false, requests...)
 	for _, r := range requests {
@@ -198,57 +205,59 @@
 	}
 }
 
-// disconnectEarly sends a request and closes the connection before its response can be expected, or in the midst of it.
+// disconnectEarly sends a request and closes the connection before the response is complete, or shortly
+// after.
 func (c *client) disconnectEarly() {
 	r, text := c.newRequest()
 	c.send(text, false, r)
 	c.pause(time.Duration(c.rng.Int64N(int64(2 * serviceTime))))
 	c.disconnect()
-	c.journal.update(func() { r.disconnected = time.Now() })
+	c.journal.update(func() { r.disconnectedAt = time.Now() })
 }
 
-// stall connects, sends half a request and stays, again and again. It enters a failure where the sidecar neither answers
-// nor closes in time.
-func (s *clients) stall() {
-	c := &client{clients: s, rng: rand.New(rand.NewPCG(s.plan.Seed, 0x57a11))}
+// runStalledClient repeatedly connects, sends half a request and stops sending. It records how long it takes
+// until the sidecar answers or closes the connection, at most overdueWait.
+func (cs *clients) runStalledClient() {
+	c := &client{clients: cs, rng: rand.New(rand.NewPCG(cs.plan.Seed, 0x57a11))}
 	defer c.disconnect()
-	for !c.ended() {
+	for !c.isDone() {
 		if !c.connect() {
-			c.pause(maxPause)
+			c.pause(maxRequestPause)
 			continue
 		}
 		r, text := c.newRequest()
-		r.class = "" // of no class: it is never sent whole
-		opened := time.Now()
+		r.class = "" // never sent completely, so it counts for no class
+		connectedAt := time.Now()
 		if _, err := io.WriteString(c.conn, text[:len(text)/2]); err == nil {
-			_ = c.conn.SetReadDeadline(opened.Add(longPatience))
+			_ = c.conn.SetReadDeadline(connectedAt.Add(overdueWait))
 			_, _ = c.reader.ReadByte()
-			s.journal.update(func() {
-				s.journal.stalls = append(s.journal.stalls, stalledClient{opened, time.Since(opened)})
+			cs.journal.update(func() {
+				cs.journal.stalledClients = append(cs.journal.stalledClients, stalledClient{connectedAt, time.Since(connectedAt)})
 			})
 		}
 		c.disconnect()
 	}
 }
 
-// idleFlood opens idle connections, more than the sidecar may hold, and opens each anew that is closed.
-func (s *clients) idleFlood() {
-	for range s.plan.Sockets {
+// startIdleFlood opens as many idle connections as the sidecar may have descriptors, and reopens each that is
+// closed.
+func (cs *clients) startIdleFlood() {
+	for range cs.plan.MaxDescriptors {
 		go func() {
 			for {
-				c, err := net.Dial("tcp", s.address)
+				c, err := net.Dial("tcp", cs.address)
 				if err == nil {
 					go func() {
-						<-s.end
+						<-cs.done
 						c.Close()
 					}()
 					_, _ = io.Copy(io.Discard, c)
 					c.Close()
 				}
 				select {
-				case <-s.end:
+				case <-cs.done:
 					return
-				case <-time.After(restTime / 4):
+				case <-time.After(idlePause / 4):
 				}
 			}
 		}()
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -6,20 +6,27 @@
 	"time"
 )
 
-// The settings that all runs share.
+// Settings that are the same in all runs.
 const (
-	drainGrace        = time.Second            // after the notice sends to a draining server must have stopped
-	slowStartDuration = 8 * time.Second        // of a slow start
-	slowStartFraction = 0.1                    // of its capacity that a server has at its start
-	overloadFactor    = 1.0                    // above this multiple of its capacity it is overloaded
-	overloadWindow    = 2 * time.Second        // when it lasts for so long
-	quota             = 100.0                  // requests per second of all clients
-	serverIdleTimeout = 5 * time.Second        // servers close idle connections
-	dialTimeout       = 250 * time.Millisecond // for a connection to a server
-	memoryMB          = 96
+	// Attempts to a draining server must stop within this time after the sidecar was notified.
+	drainGrace = time.Second
+	// How long after its start a server is in slow start.
+	slowStartDuration = 8 * time.Second
+	// The fraction of its capacity that a server has at its start.
+	slowStartFraction = 0.1
+	// A server is overloaded if it gets more than overloadFactor times its capacity for overloadWindow.
+	overloadFactor = 1.0
+	overloadWindow = 2 * time.Second
+	// The quota of the only tenant, in requests per second. It equals the capacity of all servers together.
+	tenantQuota = 100.0
+	// The time after which servers are said to close idle connections.
+	serverIdleTimeout = 5 * time.Second
+	// The sidecar's timeout for connecting to a server.
+	dialTimeout   = 250 * time.Millisecond
+	memoryLimitMB = 96 // the sidecar's memory limit
 )
 
-// writeConfig writes the sidecar's configuration file, whole in one step.
+// writeConfig writes the sidecar's configuration file atomically: it writes a new file and renames it.
 func (p *Plan) writeConfig(path, listen, discovery string) error {
 	mode := "ask"
 	if p.Pushed {
@@ -28,7 +35,7 @@
 	milliseconds := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{
-			"name": name, "semantics": semantics, "dedup_scope": p.Scope, "window_ms": milliseconds(p.Window), "worth": 1.0,
+			"name": name, "semantics": semantics, "dedup_scope": p.DedupScope, "window_ms": milliseconds(p.DedupWindow), "worth": 1.0,
 			"aim_ms": milliseconds(p.Deadline) / 2, "hard_limit_ms": milliseconds(p.Deadline), "late_share": 0.5,
 		}
 	}
@@ -39,13 +46,13 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"name": "soak", "listen": listen, "discovery": discovery, "seed": "5eed",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": p.Sockets},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryLimitMB, "sockets": p.MaxDescriptors},
 		"settings": map[string]any{
 			"balancers": 1, "me": 0, "discovery": mode, "period_ms": 1.0, "zone": 0, "zones": []string{"a", "b"},
 			"caps": map[string]any{"conn_idle_ms": milliseconds(serverIdleTimeout), "dial_timeout_ms": milliseconds(dialTimeout),
 				"may_cancel": true, "most_tries": 4, "max_open": 1000, "max_retry_after_ms": 500.0, "peers": false, "probes": false},
-			"classes": []any{class(classSafe, "free"), class(classKeyed, "guarded"), class(classUnsafe, "single_shot")},
-			"orgs":    []any{map[string]any{"name": "all", "share": 1.0, "quota_per_s": quota}},
+			"classes": []any{class(classIdempotent, "free"), class(classIdempotentByKey, "guarded"), class(classNonIdempotent, "single_shot")},
+			"orgs":    []any{map[string]any{"name": "all", "share": 1.0, "quota_per_s": tenantQuota}},
 			"rules":   rules,
 		},
 	})
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -10,84 +10,88 @@
 	"time"
 )
 
-// notifiedWithin is how long after discovery had a change and could be reached it counts as notified.
-const notifiedWithin = 6 * time.Second
+// notifyTimeout is the time after which a change counts as notified, whether or not the sidecar has read it.
+// It counts from the change, or from the moment discovery became reachable if that is later.
+const notifyTimeout = 6 * time.Second
 
-// DiscoveryMode is how a discovery answers.
+// DiscoveryMode determines how a discovery answers calls.
 type DiscoveryMode int
 
 // The modes of a discovery.
 const (
-	Up         DiscoveryMode = iota
-	Down                     // resets each connection
-	Slow                     // answers late
-	Overloaded               // answers 503
-	Unusable                 // answers what is no list
+	Up          DiscoveryMode = iota // answers normally
+	Down                             // resets each connection
+	Slow                             // answers after slowResponseDelay
+	Overloaded                       // answers 503
+	InvalidList                      // answers with an invalid endpoint list
 )
 
-const slowAnswer = 700 * time.Millisecond
+// slowResponseDelay is the delay of each response in mode Slow.
+const slowResponseDelay = 700 * time.Millisecond
 
-// change is one change of the endpoint list.
-type change struct {
+// endpointChange is the state of one server in the endpoint list after a change.
+type endpointChange struct {
 	server     *server
 	lifecycle  string
-	startedAt  time.Time   // zero: long ago
-	withdrawal *withdrawal // that it begins; nil: the server is ready
-	start      *slowStart  // that it tells of; nil: none
+	startedAt  time.Time   // zero: long before the run
+	withdrawal *withdrawal // the period of withdrawal that the change is part of; nil: the server is ready
+	slowStart  *slowStart  // the start that the change announces; nil: none
 }
 
-// fleet is the endpoint list, which all discoveries answer from. They count its versions apart.
-type fleet struct {
+// endpointList is the endpoint list that all discoveries serve. Each discovery numbers its versions
+// differently.
+type endpointList struct {
 	journal *journal
 
-	mu      sync.Mutex
-	changes []change
-	current []change      // of each server, its latest
-	changed chan struct{} // closed with the next change
+	mu         sync.Mutex
+	changes    []endpointChange
+	current    []endpointChange // the latest state of each server, by index
+	nextChange chan struct{}    // closed at the next change
 }
 
-func newFleet(servers []*server, j *journal) *fleet {
-	f := &fleet{journal: j, changed: make(chan struct{})}
+func newEndpointList(servers []*server, j *journal) *endpointList {
+	l := &endpointList{journal: j, nextChange: make(chan struct{})}
 	for _, s := range servers {
-		f.current = append(f.current, change{server: s, lifecycle: "ready"})
+		l.current = append(l.current, endpointChange{server: s, lifecycle: "ready"})
 	}
-	return f
+	return l
 }
 
-// set changes the lifecycle of servers. Where they return to ready they have started just now.
-func (f *fleet) set(lifecycle string, servers ...*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// setLifecycle changes the lifecycle of servers. A server that becomes ready again counts as started at this
+// moment.
+func (l *endpointList) setLifecycle(lifecycle string, servers ...*server) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
 	for _, s := range servers {
-		before := f.current[s.number]
-		if before.lifecycle == lifecycle {
+		previous := l.current[s.number]
+		if previous.lifecycle == lifecycle {
 			continue
 		}
-		next := change{server: s, lifecycle: lifecycle, startedAt: before.startedAt, withdrawal: before.withdrawal}
-		f.journal.update(func() {
+		next := endpointChange{server: s, lifecycle: lifecycle, startedAt: previous.startedAt, withdrawal: previous.withdrawal}
+		l.journal.update(func() {
 			switch {
 			case lifecycle == "ready":
-				before.withdrawal.until, next.withdrawal, next.startedAt = now, nil, now
-				next.start = &slowStart{server: s.number, at: now}
-				f.journal.slowStarts = append(f.journal.slowStarts, next.start)
-			case before.withdrawal == nil:
-				next.withdrawal = &withdrawal{server: s.number, from: now}
-				f.journal.withdrawals = append(f.journal.withdrawals, next.withdrawal)
+				previous.withdrawal.returnedAt, next.withdrawal, next.startedAt = now, nil, now
+				next.slowStart = &slowStart{server: s.number, startedAt: now}
+				l.journal.slowStarts = append(l.journal.slowStarts, next.slowStart)
+			case previous.withdrawal == nil:
+				next.withdrawal = &withdrawal{server: s.number, withdrawnAt: now}
+				l.journal.withdrawals = append(l.journal.withdrawals, next.withdrawal)
 			}
 		})
-		f.current[s.number] = next
-		f.changes = append(f.changes, next)
+		l.current[s.number] = next
+		l.changes = append(l.changes, next)
 	}
-	close(f.changed)
-	f.changed = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
-// ready returns the servers that may be sent to.
-func (f *fleet) ready() (ready []*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.current {
+// ready returns the servers that are listed as ready.
+func (l *endpointList) ready() (ready []*server) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, c := range l.current {
 		if c.lifecycle == "ready" {
 			ready = append(ready, c.server)
 		}
@@ -95,125 +99,127 @@
 	return ready
 }
 
-// since returns the number of changes so far, the present state of the servers that have changed since a number of
-// changes, or of all that are listed (number below 0), and a channel that is closed with the next change.
-func (f *fleet) since(number int) (count int, entries []change, next <-chan struct{}) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	named := make(map[int]bool)
-	if number < 0 {
-		for _, c := range f.current {
+// changesSince returns the total number of changes, the current state of the servers that changed after the
+// first known changes, and a channel that is closed at the next change. If known is negative, it returns the
+// state of all listed servers.
+func (l *endpointList) changesSince(known int) (total int, entries []endpointChange, next <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	included := make(map[int]bool)
+	if known < 0 {
+		for _, c := range l.current {
 			if c.lifecycle != "gone" {
 				entries = append(entries, c)
 			}
 		}
-		return len(f.changes), entries, f.changed
+		return len(l.changes), entries, l.nextChange
 	}
-	for _, c := range f.changes[min(number, len(f.changes)):] {
-		if !named[c.server.number] {
-			named[c.server.number] = true
-			entries = append(entries, f.current[c.server.number])
+	for _, c := range l.changes[min(known, len(l.changes)):] {
+		if !included[c.server.number] {
+			included[c.server.number] = true
+			entries = append(entries, l.current[c.server.number])
 		}
 	}
-	return len(f.changes), entries, f.changed
+	return len(l.changes), entries, l.nextChange
 }
 
-// markNotified enters that an answer was written: all withdrawals and starts that it tells of, and where it is complete
-// those of all servers, count as notified.
-func (f *fleet) markNotified(count int, complete bool, entries []change) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// markNotified records that a response was written to the sidecar: the withdrawals and starts in its entries
+// count as notified. If it was a full list, those of all changes so far do.
+func (l *endpointList) markNotified(count int, full bool, entries []endpointChange) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	if complete {
-		entries = f.changes[:count]
+	if full {
+		entries = l.changes[:count]
 	}
-	f.journal.update(func() {
+	l.journal.update(func() {
 		for _, c := range entries {
-			if c.withdrawal != nil && c.withdrawal.notified.IsZero() {
-				c.withdrawal.notified = now
+			if c.withdrawal != nil && c.withdrawal.notifiedAt.IsZero() {
+				c.withdrawal.notifiedAt = now
 			}
-			if c.start != nil && c.start.notified.IsZero() {
-				c.start.notified = now
+			if c.slowStart != nil && c.slowStart.notifiedAt.IsZero() {
+				c.slowStart.notifiedAt = now
 			}
 		}
 	})
 }
 
-// discovery is one address of discovery, with versions of its own.
+// discovery is a stand-in of discovery, with its own listener and version numbers.
 type discovery struct {
-	number      int
-	fleet       *fleet
-	baseVersion int
+	number      int // its index
+	endpoints   *endpointList
+	baseVersion int // version of the list before the first change
 	listener    net.Listener
 	server      *http.Server
 
-	mu          sync.Mutex
-	mode        DiscoveryMode
-	reachable   time.Time     // since when changes count as notified in time; zero: they do not, or watches fell silent
-	interrupted chan struct{} // closed to end the watches that are open
-	silence     bool          // these are left without an answer, not reset
+	mu              sync.Mutex
+	mode            DiscoveryMode
+	reachableFrom   time.Time     // when discovery became reachable; zero: it is not, or its watches were left unanswered
+	interrupted     chan struct{} // closed to interrupt the open watches
+	leaveUnanswered bool          // interrupted watches stay open without an answer; otherwise they are reset
 }
 
-func newDiscovery(number, baseVersion int, f *fleet) (*discovery, error) {
+func newDiscovery(number, baseVersion int, l *endpointList) (*discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &discovery{
-		number: number, fleet: f, baseVersion: baseVersion, listener: listener, reachable: time.Now(),
+		number: number, endpoints: l, baseVersion: baseVersion, listener: listener, reachableFrom: time.Now(),
 		interrupted: make(chan struct{}),
 	}
 	d.server = &http.Server{Handler: d}
-	go func() { _ = d.server.Serve(listener) }() // ends with the run
+	go func() { _ = d.server.Serve(listener) }() // returns when the run closes the server
 	return d, nil
 }
 
 func (d *discovery) address() string { return d.listener.Addr().String() }
 
-// setMode changes how it answers. Watches end with all modes but Up.
+// setMode sets how discovery answers. All modes but Up also reset the open watches.
 func (d *discovery) setMode(m DiscoveryMode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mode = m
-	d.reachable = time.Time{}
+	d.reachableFrom = time.Time{}
 	if m == Up {
-		d.reachable = time.Now()
+		d.reachableFrom = time.Now()
 		return
 	}
 	d.interrupt(false)
 }
 
-// endWatches resets the watches that are open, or never answers them.
+// endWatches resets the open watches or, if silently is set, leaves them unanswered for good.
 func (d *discovery) endWatches(silently bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.interrupt(silently)
 	if silently {
-		d.reachable = time.Time{}
+		d.reachableFrom = time.Time{}
 	}
 }
 
-// interrupt ends the open watches. The caller holds the lock.
+// interrupt interrupts the open watches. The caller must hold d.mu.
 func (d *discovery) interrupt(silently bool) {
-	d.silence = silently
+	d.leaveUnanswered = silently
 	close(d.interrupted)
 	d.interrupted = make(chan struct{})
 }
 
-// reachableSince returns since when a change counts as notified in time; zero: it does not now.
+// reachableSince returns when discovery became reachable, from which on changes count as notified after
+// notifyTimeout. It returns the zero time if discovery is not reachable.
 func (d *discovery) reachableSince() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.reachable
+	return d.reachableFrom
 }
 
-// ServeHTTP answers a call for the endpoint list.
+// ServeHTTP handles a call for the endpoint list.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.fleet.journal.addCall(listCall{d.number, time.Now(), r.URL.RawQuery})
+	d.endpoints.journal.addListCall(listCall{d.number, time.Now(), r.URL.RawQuery})
 	d.mu.Lock()
 	mode, interrupted := d.mode, d.interrupted
-	if mode == Up && d.reachable.IsZero() {
-		d.reachable = time.Now() // the first call after the watches fell silent
+	if mode == Up && d.reachableFrom.IsZero() {
+		d.reachableFrom = time.Now() // the first call after watches were left unanswered
 	}
 	d.mu.Unlock()
 	switch mode {
@@ -222,39 +228,39 @@
 	case Overloaded:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Unusable:
+	case InvalidList:
 		_, _ = fmt.Fprintf(w, `{"generation":%d,"reset":true}`, d.baseVersion+1000)
 		return
 	case Slow:
-		time.Sleep(slowAnswer)
+		time.Sleep(slowResponseDelay)
 	}
-	d.answer(w, r, interrupted)
+	d.respond(w, r, interrupted)
 }
 
-// answer answers with the list, or with what has changed, once something has.
-func (d *discovery) answer(w http.ResponseWriter, r *http.Request, interrupted <-chan struct{}) {
-	number := -1
+// respond answers with the full list, or waits for a change and answers with the servers that changed.
+func (d *discovery) respond(w http.ResponseWriter, r *http.Request, interrupted <-chan struct{}) {
+	known := -1 // number of changes that the caller already has; negative: request for the full list
 	if index, err := strconv.Atoi(r.FormValue("index")); err == nil && index >= d.baseVersion {
-		number = index - d.baseVersion
+		known = index - d.baseVersion
 	}
-	waitMS, _ := strconv.Atoi(r.FormValue("wait")) // 0 where it is absent
+	waitMS, _ := strconv.Atoi(r.FormValue("wait")) // 0 if the parameter is missing
 	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
-		count, entries, changed := d.fleet.since(number)
-		if number < 0 || count > number {
-			d.write(w, count, number < 0, entries)
+		count, entries, changed := d.endpoints.changesSince(known)
+		if known < 0 || count > known {
+			d.writeList(w, count, known < 0, entries)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			d.write(w, count, false, entries)
+			d.writeList(w, count, false, entries)
 			return
 		case <-interrupted:
 			d.mu.Lock()
-			silence := d.silence
+			leaveUnanswered := d.leaveUnanswered
 			d.mu.Unlock()
-			if silence {
+			if leaveUnanswered {
 				<-r.Context().Done()
 			}
 			panic(http.ErrAbortHandler)
@@ -264,14 +270,15 @@
 	}
 }
 
-// write writes an answer: in one piece, in several, or indented, by its version.
-func (d *discovery) write(w http.ResponseWriter, count int, complete bool, entries []change) {
-	space := strings.Repeat("\n  ", count%2)
+// writeList writes an endpoint list. Depending on the version, the list is indented or not, and written at
+// once or in two parts, so that the sidecar has to read all forms.
+func (d *discovery) writeList(w http.ResponseWriter, count int, full bool, entries []endpointChange) {
+	indent := strings.Repeat("\n  ", count%2)
 	var text strings.Builder
-	fmt.Fprintf(&text, `{%s"generation":%d,%s"reset":%t,%s"instances":[`, space, d.baseVersion+count, space, complete, space)
+	fmt.Fprintf(&text, `{%s"generation":%d,%s"reset":%t,%s"instances":[`, indent, d.baseVersion+count, indent, full, indent)
 	for i, c := range entries {
 		if i > 0 {
-			text.WriteString("," + space)
+			text.WriteString("," + indent)
 		}
 		startedAt := int64(0)
 		if !c.startedAt.IsZero() {
@@ -281,16 +288,16 @@
 			c.server.instanceID(), c.server.address(), c.server.zone, c.server.cell, c.lifecycle, startedAt)
 	}
 	text.WriteString("]}")
-	answer := text.String()
+	list := text.String()
 	half := 0
 	if count%3 == 1 {
-		half = len(answer) / 2
-		_, _ = w.Write([]byte(answer[:half])) // fails only if the sidecar has gone, as below
+		half = len(list) / 2
+		_, _ = w.Write([]byte(list[:half])) // fails only if the sidecar closed the connection, as below
 		http.NewResponseController(w).Flush()
 		time.Sleep(serviceTime)
 	}
-	_, err := w.Write([]byte(answer[half:]))
+	_, err := w.Write([]byte(list[half:]))
 	if err == nil {
-		d.fleet.markNotified(count, complete, entries)
+		d.endpoints.markNotified(count, full, entries)
 	}
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,13 +1,14 @@
-// Package soak runs the sidecar's program between stand-ins for clients, servers and discovery, under faults that are all
-// drawn from one seed, and checks from outside what the sidecar owes them.
+// Package soak runs the real sidecar process between stand-ins of clients, servers and discovery, injects random
+// faults, and checks from outside that the sidecar keeps its guarantees. All faults are drawn from one seed.
 //
-// A Plan is what a run does: plan.go draws it. Run carries it out: run.go has the process and its signals, server.go,
-// discovery.go and client.go the stand-ins, which enter what they see into a journal. check.go goes through the journal
-// once the run is over and lists its findings, with bounds from the platform's rules.
+// A Plan holds the parameters and events of a run; plan.go draws it from the seed. Run executes a plan: run.go
+// starts the process and sends its signals, and server.go, discovery.go and client.go have the stand-ins, which
+// record what they observe in a journal. After the run, check.go goes through the journal and reports violations
+// as findings. Its bounds follow from the platform's rules.
 //
-// The faults come at real times to a real process, so two runs of one seed do not send the same bytes. What the checks
-// demand holds for every order. Stalls of the machine are measured beside a run (stall.go) and added to the bounds; a run
-// with a longer one than the drain grace is void.
+// The faults hit a real process in real time, so two runs of one seed do not send the same bytes. The checks hold
+// for any order of events. Stalls of the machine are measured during a run (stall.go) and added to the bounds. A
+// run with a stall longer than the drain grace is void.
 //
-// Not played, as loopback has no way to it without privileges: connections that come up late.
+// Slow connection establishment is not simulated: it can't be done on loopback without privileges.
 package soak
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -5,98 +5,98 @@
 	"time"
 )
 
-// attempt is a request as a server read it.
+// attempt is an attempt of a request as the server's stand-in received it.
 type attempt struct {
-	server   int
-	id       string
-	class    string
-	begun    time.Time     // its first byte had come
-	complete time.Time     // its last byte had come
-	timeout  time.Duration // that it told the server
-	mayRun   bool          // it was not answered that it has not run
-	body     string        // of the response made for it; empty: none
+	server       int    // index of the server
+	id           string // of the request
+	class        string
+	startedAt    time.Time     // when its first byte arrived
+	readAt       time.Time     // when its last byte arrived
+	timeout      time.Duration // from its X-Timeout header
+	mayHaveRun   bool          // false if the server answered that the request did not run
+	responseBody string        // body that the server sent in response; empty: none
 }
 
 // clientRequest is a request as its client sent it.
 type clientRequest struct {
-	id           string
-	class        string
-	behind       *clientRequest // on its connection (pipelined), open when this one was sent; nil: none
-	conn         int            // number of its connection
-	idle         time.Duration  // no request had been open on its connection for so long
-	sent         time.Time      // its last byte was written
-	timeout      time.Duration  // of the client, from sent on
-	disconnected time.Time      // the client closed its connection; zero: it waited
-	ended        time.Time      // the response was complete, or the connection ended; zero: not at the run's end
-	status       int            // 0: no response
-	body         string
-	failure      string // how the connection ended without a whole response
-	answered     bool   // a whole response came
+	id             string
+	class          string
+	previous       *clientRequest // pipelined request before this one, still open when this one was sent; nil: none
+	connNumber     int            // number of its connection
+	idleBefore     time.Duration  // how long its connection had no open request before this one was sent
+	sentAt         time.Time      // when its last byte was written
+	timeout        time.Duration  // of the client, counted from sentAt
+	disconnectedAt time.Time      // when the client closed the connection early; zero: it waited for the response
+	endedAt        time.Time      // when the response was complete or the connection closed; zero: neither in this run
+	status         int            // zero: no response
+	body           string
+	failure        string // error with which the connection ended before a complete response
+	answered       bool   // whether a complete response came
 }
 
-// withdrawal is a time in which a server is to get nothing new.
+// withdrawal is a period in which a server may get no new attempts.
 type withdrawal struct {
-	server   int
-	from     time.Time // discovery had the change
-	notified time.Time // discovery wrote it to the sidecar; zero: not yet
-	forced   time.Time // from here on it counts as notified; zero: discovery has not been in reach for so long
-	until    time.Time // the server is back; zero: not within the run
+	server         int
+	withdrawnAt    time.Time // when the endpoint list changed
+	notifiedAt     time.Time // when discovery wrote the change to the sidecar; zero: not yet
+	notifyDeadline time.Time // from then on it counts as notified in any case; zero: did not pass within the run
+	returnedAt     time.Time // when the server was listed as ready again; zero: not within the run
 }
 
-// listCall is a call for the endpoint list, as a discovery read it.
+// listCall is a call for the endpoint list, as a discovery received it.
 type listCall struct {
-	discovery int
+	discovery int // index of the discovery
 	at        time.Time
 	query     string
 }
 
-// move is a new configuration that names another discovery.
-type move struct {
-	to int
+// discoveryChange is a change of the configuration that names another discovery.
+type discoveryChange struct {
+	to int // index of the discovery that the sidecar follows from then on
 	at time.Time
 }
 
-// slowStart is a start of a server that the settings give a slow start.
+// slowStart is a start of a server, for which the settings may require a slow start.
 type slowStart struct {
-	server   int
-	at       time.Time
-	notified time.Time // discovery wrote it to the sidecar; zero: not yet
+	server     int
+	startedAt  time.Time // when the server was listed as ready again
+	notifiedAt time.Time // when discovery wrote the start to the sidecar; zero: not yet
 }
 
-// stalledClient is a client that stopped in the middle of a request.
+// stalledClient is a connection of a client that stopped sending in the middle of a request.
 type stalledClient struct {
-	opened time.Time
-	waited time.Duration // for a response, or the end of its connection
+	connectedAt time.Time
+	waited      time.Duration // until a response came or the connection was closed
 }
 
-// usage is what the process held at a moment.
-type usage struct {
+// resourceUsage is the most descriptors and memory that the process held.
+type resourceUsage struct {
 	descriptors int
 	memoryKB    int
 }
 
-// journal is what the stand-ins of one run have seen. Its methods may be called from any goroutine.
+// journal records what the stand-ins observe in one run. Its methods are safe for concurrent use.
 type journal struct {
-	mu          sync.Mutex
-	attempts    []*attempt
-	requests    []*clientRequest
-	withdrawals []*withdrawal
-	calls       []listCall
-	moves       []move
-	slowStarts  []*slowStart
-	stalls      []stalledClient
-	peak        usage
-
-	started   time.Time // of the process
-	ready     time.Time // it answered that it is
-	stopped   time.Time // SIGTERM
-	killed    time.Time // SIGKILL; zero: it had ended before
-	exited    time.Time
-	exitError error         // nil: status 0
-	suspended time.Duration // by SIGSTOP, in all
-	cpuTime   time.Duration // that the process has used
-	impaired  []interval    // in which less than half of the servers were well, or other faults excuse a low share
-	log       string
+	mu               sync.Mutex
+	attempts         []*attempt
+	requests         []*clientRequest
+	withdrawals      []*withdrawal
+	listCalls        []listCall
+	discoveryChanges []discoveryChange
+	slowStarts       []*slowStart
+	stalledClients   []stalledClient
+	peakUsage        resourceUsage
+
+	startedAt    time.Time // when the process was started
+	readyAt      time.Time // when the sidecar first answered that it is ready
+	terminatedAt time.Time // when SIGTERM was sent
+	killedAt     time.Time // when SIGKILL was sent; zero: the process had exited before
+	exitedAt     time.Time
+	exitError    error         // nil: status 0
+	suspended    time.Duration // total time for which SIGSTOP suspended the process
+	cpuTime      time.Duration // used by the process
+	impaired     []interval    // times in which faults excuse a low served fraction
+	log          string        // of the sidecar
 }
 
 // interval is a part of a run.
@@ -108,18 +108,18 @@
 	j.attempts = append(j.attempts, a)
 }
 
-// answer enters the response that a server makes for an attempt.
-func (j *journal) answer(a *attempt, body string) {
+// recordResponse records the body of the response that a server is about to send for an attempt.
+func (j *journal) recordResponse(a *attempt, body string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	a.body = body
+	a.responseBody = body
 }
 
-// neverRan enters that a server says so of an attempt.
-func (j *journal) neverRan(a *attempt) {
+// recordNotProcessed records that a server answers that an attempt did not run.
+func (j *journal) recordNotProcessed(a *attempt) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	a.mayRun = false
+	a.mayHaveRun = false
 }
 
 func (j *journal) addRequest(r *clientRequest) {
@@ -128,15 +128,15 @@
 	j.requests = append(j.requests, r)
 }
 
-// update changes what was entered before.
+// update calls change, which may read and change any part of the journal, with the journal locked.
 func (j *journal) update(change func()) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	change()
 }
 
-func (j *journal) addCall(c listCall) {
+func (j *journal) addListCall(c listCall) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.calls = append(j.calls, c)
+	j.listCalls = append(j.listCalls, c)
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,106 +8,111 @@
 	"time"
 )
 
-// The times of a run, from the moment in which the sidecar is ready.
+// Times in a run, counted from the moment the sidecar reports that it is ready.
 const (
-	faultsFrom = 500 * time.Millisecond
-	faultsTo   = 6 * time.Second
-	minStopAt  = 4 * time.Second // SIGTERM comes between this
-	maxStopAt  = 7 * time.Second // and this
+	// Events start between earliestFault and latestFault.
+	earliestFault = 500 * time.Millisecond
+	latestFault   = 6 * time.Second
+	// SIGTERM is sent between earliestTerminate and latestTerminate.
+	earliestTerminate = 4 * time.Second
+	latestTerminate   = 7 * time.Second // and this
 
-	floodFraction = 0.25 // of the runs have idle clients that fill the descriptors
+	// The fraction of runs in which idle clients use up the sidecar's descriptors.
+	idleFloodFraction = 0.25
 )
 
-// EventKind is what happens in an Event.
+// EventKind identifies what an Event does.
 type EventKind int
 
-// The kinds of events.
+// The kinds of events. "For a time" means for the Event's Duration.
 const (
-	ServerFault         EventKind = iota // a server answers in the Event's Mode for a time
-	ServerDrain                          // a server drains, and comes back cold after a time
-	ServerGone                           // a server is removed, and comes back cold after a time
-	AllGone                              // all servers are removed, and come back cold after a time
-	DiscoveryDown                        // discovery resets all connections for a time
-	DiscoverySlow                        // discovery answers late for a time
-	DiscoveryOverloaded                  // discovery rejects calls for a time
-	WatchesSilent                        // the watches that are open now are never answered
-	WatchesReset                         // the watches that are open now are reset
-	UnusableAnswers                      // discovery answers what is no list for a time
-	Move                                 // a new configuration names the other discovery, SIGHUP
-	MoveAwayAndBack                      // two new configurations in a row, SIGHUP after each
-	BadConfig                            // the configuration file is half written, SIGHUP; then it is whole again
-	Suspend                              // SIGSTOP, and SIGCONT after a time
-	eventKinds
+	ServerFault            EventKind = iota // a server answers in the Event's Mode for a time
+	ServerDraining                          // a server is listed as draining for a time, then returns with a new start time
+	ServerRemoved                           // a server is removed from the list for a time, then returns with a new start time
+	AllServersRemoved                       // all servers are removed from the list for a time, then return with new start times
+	DiscoveryDown                           // discovery resets all connections for a time
+	DiscoverySlow                           // discovery delays its responses for a time
+	DiscoveryOverloaded                     // discovery answers 503 for a time
+	WatchesUnanswered                       // the watches that are now open are never answered
+	WatchesReset                            // the connections of the watches that are now open are reset
+	DiscoveryInvalidList                    // discovery answers with an invalid endpoint list for a time
+	ChangeDiscovery                         // a new configuration names the other discovery; SIGHUP
+	ChangeDiscoveryAndBack                  // as ChangeDiscovery, followed by the same change in reverse
+	TruncatedConfig                         // the configuration file is truncated; SIGHUP; the file is restored; SIGHUP
+	Suspend                                 // SIGSTOP, followed by SIGCONT after a time
+	eventKindCount
 )
 
-var eventNames = [eventKinds]string{
-	"server fault", "server drains", "server gone", "all servers gone", "discovery down", "discovery slow", "discovery busy",
-	"watches silent", "watches reset", "unusable answers", "move", "move away and back", "bad configuration", "suspend",
+var eventNames = [eventKindCount]string{
+	"server fault", "server draining", "server removed", "all servers removed", "discovery down", "discovery slow",
+	"discovery overloaded", "watches unanswered", "watches reset", "invalid endpoint list", "move", "move away and back",
+	"truncated configuration", "suspend",
 }
 
-// eventWeights are how often each kind is drawn, relative to the others.
-var eventWeights = [eventKinds]int{8, 4, 3, 1, 2, 2, 2, 3, 3, 2, 3, 2, 2, 1}
+// eventWeights holds the relative frequency with which each kind is drawn.
+var eventWeights = [eventKindCount]int{8, 4, 3, 1, 2, 2, 2, 3, 3, 2, 3, 2, 2, 1}
 
-// Event is one fault of a run.
+// Event is one fault that a run injects.
 type Event struct {
-	At     time.Duration
-	Kind   EventKind
-	Server int           // of the server's kinds
-	Mode   ServerMode    // of ServerFault
-	For    time.Duration // of the kinds that last
+	At       time.Duration // counted from the moment the sidecar is ready
+	Kind     EventKind
+	Server   int           // index of the server; only for ServerFault, ServerDraining and ServerRemoved
+	Mode     ServerMode    // only for ServerFault
+	Duration time.Duration // zero for kinds that happen at one moment
 }
 
 func (e Event) String() string {
 	text := fmt.Sprintf("%5d ms: %s", e.At.Milliseconds(), eventNames[e.Kind])
-	if e.Kind <= ServerGone {
+	if e.Kind <= ServerRemoved {
 		text += fmt.Sprintf(" %d", e.Server)
 	}
 	if e.Kind == ServerFault {
 		text += fmt.Sprintf(" (%s)", e.Mode)
 	}
-	if e.For > 0 {
-		text += fmt.Sprintf(" for %d ms", e.For.Milliseconds())
+	if e.Duration > 0 {
+		text += fmt.Sprintf(" for %d ms", e.Duration.Milliseconds())
 	}
 	return text
 }
 
-// Plan is what a run does, drawn from its seed.
+// Plan holds the parameters and the events of a run, all drawn from its seed.
 type Plan struct {
-	Seed            uint64
-	Pushed          bool          // the endpoint list is pushed, not polled
-	Deadline        time.Duration // of all classes
-	Scope           string        // in which servers drop repeats of keyed requests: all, zone or cell
-	Window          time.Duration // for how long they do
-	Servers         int
-	Clients         int
-	Sockets         int  // descriptors that the sidecar may hold
-	IdleFlood       bool // idle clients fill the descriptors
-	SlowStart       bool // servers are given a slow start in the settings
-	StopAt          time.Duration
-	StopTwice       bool          // SIGTERM comes twice, with SIGHUPs around it
-	AllHang         bool          // all servers hang from just before SIGTERM on
-	SuspendStopping time.Duration // the process is held up for so long right after SIGTERM, and SIGKILL comes that much later
-	Events          []Event
+	Seed           uint64
+	Pushed         bool          // the sidecar watches the endpoint list; otherwise it polls the list
+	Deadline       time.Duration // of all classes
+	DedupScope     string        // where servers drop repeats of requests that are idempotent by key: all, zone or cell
+	DedupWindow    time.Duration // how long servers drop such repeats
+	Servers        int           // number of servers
+	Clients        int           // number of clients that send requests
+	MaxDescriptors int           // limit on the sidecar's open descriptors
+	IdleFlood      bool          // idle clients use up the sidecar's descriptors
+	SlowStart      bool          // the settings give servers a slow start
+	TerminateAt    time.Duration // when SIGTERM is sent, counted from the moment the sidecar is ready
+	TerminateTwice bool          // SIGTERM is sent twice, with a SIGHUP before each
+	AllServersHang bool          // all servers hang from shortly before SIGTERM on
+	// How long the process is suspended right after SIGTERM. SIGKILL is delayed by the same time.
+	SuspendAfterTerminate time.Duration
+	Events                []Event
 }
 
-// NewPlan draws a plan.
+// NewPlan draws the plan of a seed.
 func NewPlan(seed uint64) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x50a7))
-	pick := func(choices ...time.Duration) time.Duration { return choices[rng.IntN(len(choices))] }
+	oneOf := func(choices ...time.Duration) time.Duration { return choices[rng.IntN(len(choices))] }
 	p := Plan{
-		Seed:      seed,
-		Pushed:    rng.IntN(2) == 0,
-		Deadline:  pick(600*time.Millisecond, 2*time.Second, 6*time.Second),
-		Scope:     []string{"all", "zone", "cell"}[rng.IntN(3)],
-		Window:    pick(300*time.Millisecond, time.Second, 5*time.Second),
-		Servers:   3 + rng.IntN(6),
-		Clients:   6 + rng.IntN(10),
-		Sockets:   []int{64, 128, 256}[rng.IntN(3)],
-		IdleFlood: rng.Float64() < floodFraction,
-		SlowStart: rng.IntN(2) == 0,
-		StopAt:    minStopAt + time.Duration(rng.Int64N(int64(maxStopAt-minStopAt))),
-		StopTwice: rng.IntN(3) == 0,
-		AllHang:   rng.IntN(4) == 0,
+		Seed:           seed,
+		Pushed:         rng.IntN(2) == 0,
+		Deadline:       oneOf(600*time.Millisecond, 2*time.Second, 6*time.Second),
+		DedupScope:     []string{"all", "zone", "cell"}[rng.IntN(3)],
+		DedupWindow:    oneOf(300*time.Millisecond, time.Second, 5*time.Second),
+		Servers:        3 + rng.IntN(6),
+		Clients:        6 + rng.IntN(10),
+		MaxDescriptors: []int{64, 128, 256}[rng.IntN(3)],
+		IdleFlood:      rng.Float64() < idleFloodFraction,
+		SlowStart:      rng.IntN(2) == 0,
+		TerminateAt:    earliestTerminate + time.Duration(rng.Int64N(int64(latestTerminate-earliestTerminate))),
+		TerminateTwice: rng.IntN(3) == 0,
+		AllServersHang: rng.IntN(4) == 0,
 	}
 	for range 4 + rng.IntN(9) {
 		p.Events = append(p.Events, p.drawEvent(rng))
@@ -116,49 +121,49 @@
 	return p
 }
 
-// drawEvent draws one event, of a kind by its weight.
+// drawEvent draws one event. The kind is drawn with the probabilities of eventWeights.
 func (p *Plan) drawEvent(rng *rand.Rand) Event {
-	sum := 0
-	for _, w := range eventWeights {
-		sum += w
+	totalWeight := 0
+	for _, weight := range eventWeights {
+		totalWeight += weight
 	}
-	kind, n := EventKind(0), rng.IntN(sum)
-	for ; n >= eventWeights[kind]; kind++ {
-		n -= eventWeights[kind]
+	kind, remaining := EventKind(0), rng.IntN(totalWeight)
+	for ; remaining >= eventWeights[kind]; kind++ {
+		remaining -= eventWeights[kind]
 	}
 	e := Event{
-		At:     faultsFrom + time.Duration(rng.Int64N(int64(faultsTo-faultsFrom))),
-		Kind:   kind,
-		Server: rng.IntN(p.Servers),
-		Mode:   ServerMode(1 + rng.IntN(int(serverModes)-1)),
-		For:    300*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second))),
+		At:       earliestFault + time.Duration(rng.Int64N(int64(latestFault-earliestFault))),
+		Kind:     kind,
+		Server:   rng.IntN(p.Servers),
+		Mode:     ServerMode(1 + rng.IntN(int(serverModeCount)-1)),
+		Duration: 300*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second))),
 	}
 	switch kind {
-	case WatchesSilent, WatchesReset, Move, MoveAwayAndBack, BadConfig:
-		e.For = 0
+	case WatchesUnanswered, WatchesReset, ChangeDiscovery, ChangeDiscoveryAndBack, TruncatedConfig:
+		e.Duration = 0
 	case Suspend:
-		e.For = []time.Duration{100 * time.Millisecond, 150 * time.Millisecond, 800 * time.Millisecond}[rng.IntN(3)]
+		e.Duration = []time.Duration{100 * time.Millisecond, 150 * time.Millisecond, 800 * time.Millisecond}[rng.IntN(3)]
 	}
 	return e
 }
 
-// String is the plan as a schedule, an event a line.
+// String returns the plan as a schedule, one event per line.
 func (p Plan) String() string {
 	mode := "polled"
 	if p.Pushed {
 		mode = "pushed"
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d: lists %s, deadline %v, repeats dropped in %s for %v, %d servers, %d clients, %d descriptors, flood of idle clients %v, slow start %v\n",
-		p.Seed, mode, p.Deadline, p.Scope, p.Window, p.Servers, p.Clients, p.Sockets, p.IdleFlood, p.SlowStart)
+	fmt.Fprintf(&text, "seed %d: endpoint list %s, deadline %v, dedup scope %s, dedup window %v, %d servers, %d clients, at most %d descriptors, idle client flood %v, slow start %v\n",
+		p.Seed, mode, p.Deadline, p.DedupScope, p.DedupWindow, p.Servers, p.Clients, p.MaxDescriptors, p.IdleFlood, p.SlowStart)
 	for _, e := range p.Events {
 		fmt.Fprintln(&text, e)
 	}
-	fmt.Fprintf(&text, "%5d ms: SIGTERM, twice %v, all servers hang %v\n", p.StopAt.Milliseconds(), p.StopTwice, p.AllHang)
+	fmt.Fprintf(&text, "%5d ms: SIGTERM, sent twice: %v, all servers hang: %v\n", p.TerminateAt.Milliseconds(), p.TerminateTwice, p.AllServersHang)
 	return text.String()
 }
 
-// killDelay is how long after SIGTERM the platform sends SIGKILL, at the earliest.
-func (p *Plan) killDelay() time.Duration {
+// minKillDelay returns the shortest time after SIGTERM in which the platform may send SIGKILL.
+func (p *Plan) minKillDelay() time.Duration {
 	return min(p.Deadline, 3*time.Second) + 700*time.Millisecond
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Finding is something that the sidecar owed and did not do.
+// Finding is a violation of one of the sidecar's guarantees.
 type Finding struct {
-	Check string // the name of the check
-	At    time.Duration
+	Check string        // the name of the check
+	At    time.Duration // counted from the moment the sidecar was ready
 	Text  string
 }
 
@@ -17,23 +17,23 @@
 	return fmt.Sprintf("%s at %d ms: %s", f.Check, f.At.Milliseconds(), f.Text)
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
-	Plan     Plan
-	Findings []Finding
-	Requests int
-	Served   int
-	Attempts int
-	Stall    time.Duration // the longest that the machine stood still
-	CPUTime  time.Duration // that the process has used
-	Peak     string        // descriptors and memory that the process held at most
-	Log      string        // of the sidecar
+	Plan         Plan
+	Findings     []Finding
+	Requests     int
+	Served       int
+	Attempts     int
+	LongestStall time.Duration // longest time for which the machine stalled
+	CPUTime      time.Duration // used by the sidecar
+	PeakUsage    string        // most descriptors and memory that the sidecar held
+	Log          string        // of the sidecar
 }
 
-// Void tells whether the machine stood still for so long that the run shows nothing.
-func (r *Report) Void() bool { return r.Stall > drainGrace }
+// Void reports whether the machine stalled for so long that the run proves nothing.
+func (r *Report) Void() bool { return r.LongestStall > drainGrace }
 
-// String is one line on the run.
+// String summarizes the run in one line.
 func (r *Report) String() string {
 	verdict := "passed"
 	switch {
@@ -42,11 +42,11 @@
 	case len(r.Findings) > 0:
 		verdict = fmt.Sprintf("%d FINDINGS", len(r.Findings))
 	}
-	return fmt.Sprintf("seed %d: %s; %d requests, %d served, %d attempts, longest stall %d ms, %d ms of processor time, %s",
-		r.Plan.Seed, verdict, r.Requests, r.Served, r.Attempts, r.Stall.Milliseconds(), r.CPUTime.Milliseconds(), r.Peak)
+	return fmt.Sprintf("seed %d: %s; %d requests, %d served, %d attempts, longest stall %d ms, %d ms of CPU time, %s",
+		r.Plan.Seed, verdict, r.Requests, r.Served, r.Attempts, r.LongestStall.Milliseconds(), r.CPUTime.Milliseconds(), r.PeakUsage)
 }
 
-// Details are the schedule, the findings and the end of the log.
+// Details returns the schedule and the findings.
 func (r *Report) Details() string {
 	var text strings.Builder
 	text.WriteString(r.Plan.String())
@@ -56,16 +56,16 @@
 	return text.String()
 }
 
-// newReport checks a journal. The clients' and the servers' goroutines may still run.
+// newReport checks a journal. Goroutines of the clients and servers may still run, so it locks the journal.
 func newReport(plan *Plan, j *journal, stall time.Duration) Report {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	c := checker{plan: plan, journal: j, slack: clockSlack + stall + j.suspended}
-	c.run()
+	c := checker{plan: plan, journal: j, tolerance: timingTolerance + stall + j.suspended}
+	c.checkAll()
 	report := Report{
-		Plan: *plan, Findings: c.findings, Requests: len(j.requests), Attempts: len(j.attempts), Stall: stall, Log: j.log,
-		CPUTime: j.cpuTime,
-		Peak:    fmt.Sprintf("%d descriptors, %d MB", j.peak.descriptors, j.peak.memoryKB>>10),
+		Plan: *plan, Findings: c.findings, Requests: len(j.requests), Attempts: len(j.attempts), LongestStall: stall, Log: j.log,
+		CPUTime:   j.cpuTime,
+		PeakUsage: fmt.Sprintf("%d descriptors, %d MB", j.peakUsage.descriptors, j.peakUsage.memoryKB>>10),
 	}
 	for _, r := range j.requests {
 		if r.status == 200 {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,51 +15,59 @@
 )
 
 const (
-	startTimeout     = 30 * time.Second
-	signalDelay      = 30 * time.Millisecond  // between signals in a row
-	afterKill        = 200 * time.Millisecond // until the clients have read what was on the way
-	firstVersion     = 40                     // of the first discovery's list
-	secondVersion    = 3                      // of the second's: its versions have nothing in common with the first's
-	allHangLeadTime  = 100 * time.Millisecond
-	halfWrittenBytes = 100
+	// The sidecar must report that it is ready within startTimeout, or the run fails with an error.
+	startTimeout = 30 * time.Second
+	// The pause between consecutive signals.
+	signalDelay = 30 * time.Millisecond
+	// The time after the sidecar's exit in which clients read responses that are still on the way.
+	clientReadGrace = 200 * time.Millisecond
+	// The first discovery's endpoint list starts at this version.
+	firstBaseVersion = 40
+	// The second discovery's endpoint list starts at this version: the versions of the two are unrelated.
+	secondBaseVersion = 3
+	// How long before SIGTERM the servers begin to hang, in plans with AllServersHang.
+	allHangLeadTime = 100 * time.Millisecond
+	// How much of the configuration file TruncatedConfig leaves.
+	truncatedConfigBytes = 100
 )
 
-// run is one run in progress.
+// run is the state of one run in progress.
 type run struct {
-	plan       Plan
-	journal    *journal
-	servers    []*server
-	fleet      *fleet
-	discovery  [2]*discovery
-	followed   atomic.Int32 // index of the discovery that the latest configuration names
-	configPath string
-	address    string // of the sidecar, for clients
-	cmd        *exec.Cmd
-	log        bytes.Buffer
-	exited     chan struct{}
-	clientsEnd chan struct{}
-	ends       []delayedEnd // of events that last
+	plan                Plan
+	journal             *journal
+	servers             []*server // stand-ins of the servers
+	endpoints           *endpointList
+	discoveries         [2]*discovery // two stand-ins of discovery, both with the list in endpoints
+	configuredDiscovery atomic.Int32  // index of the discovery that the latest configuration names
+	configPath          string
+	sidecarAddress      string // where the sidecar listens for clients
+	cmd                 *exec.Cmd
+	stderr              bytes.Buffer  // log of the sidecar
+	exited              chan struct{} // closed when the process has exited
+	clientsDone         chan struct{} // closed to stop the clients
+	eventEnds           []eventEnd    // pending ends of events that last for a time
 }
 
-// delayedEnd is what ends an event.
-type delayedEnd struct {
-	at time.Time
-	do func()
+// eventEnd ends an event: restore undoes the fault.
+type eventEnd struct {
+	at      time.Time
+	restore func()
 }
 
-// Run carries out a plan with a program and returns what was found. dir is a folder for its files.
+// Run executes a plan with the sidecar at the path program and returns the report. It writes the sidecar's
+// configuration file into dir.
 func Run(plan Plan, program, dir string) (Report, error) {
-	r := &run{plan: plan, journal: new(journal), exited: make(chan struct{}), clientsEnd: make(chan struct{})}
+	r := &run{plan: plan, journal: new(journal), exited: make(chan struct{}), clientsDone: make(chan struct{})}
 	defer r.close()
 	if err := r.start(program, dir); err != nil {
 		return Report{}, fmt.Errorf("seed %d: %w", plan.Seed, err)
 	}
 	stalls := startStallMeter()
-	r.carryOut()
+	r.execute()
 	return newReport(&r.plan, r.journal, stalls.stop()), nil
 }
 
-// start starts the stand-ins and the program, and returns once that is ready.
+// start starts the stand-ins and the sidecar, and returns once the sidecar is ready.
 func (r *run) start(program, dir string) error {
 	for n := range r.plan.Servers {
 		s, err := newServer(n, r.journal)
@@ -68,25 +76,25 @@
 		}
 		r.servers = append(r.servers, s)
 	}
-	r.fleet = newFleet(r.servers, r.journal)
-	for n, version := range []int{firstVersion, secondVersion} {
+	r.endpoints = newEndpointList(r.servers, r.journal)
+	for n, version := range []int{firstBaseVersion, secondBaseVersion} {
 		var err error
-		if r.discovery[n], err = newDiscovery(n, version, r.fleet); err != nil {
+		if r.discoveries[n], err = newDiscovery(n, version, r.endpoints); err != nil {
 			return err
 		}
 	}
 	var err error
-	if r.address, err = freeAddress(); err != nil {
+	if r.sidecarAddress, err = freeAddress(); err != nil {
 		return err
 	}
 	r.configPath = filepath.Join(dir, fmt.Sprintf("soak-%d.json", r.plan.Seed))
-	if err := r.configure(0); err != nil {
+	if err := r.writeConfig(0); err != nil {
 		return err
 	}
 	r.cmd = exec.Command(program)
 	r.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+r.configPath)
-	r.cmd.Stderr = &r.log
-	r.journal.started = time.Now()
+	r.cmd.Stderr = &r.stderr
+	r.journal.startedAt = time.Now()
 	if err := r.cmd.Start(); err != nil {
 		return err
 	}
@@ -94,8 +102,8 @@
 	return r.awaitReady()
 }
 
-// freeAddress returns an address on loopback that nobody listens on. Its IP address is one that the system picks for
-// nobody else.
+// freeAddress returns a loopback address with a port on which nothing listens. Its IP address is one that the
+// system doesn't pick for other listeners or connections.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.50.1:0")
 	if err != nil {
@@ -104,77 +112,77 @@
 	return l.Addr().String(), l.Close()
 }
 
-// configure writes the configuration file with the address of a discovery.
-func (r *run) configure(discovery int) error {
-	return r.plan.writeConfig(r.configPath, r.address, r.discovery[discovery].address())
+// writeConfig writes a configuration file that names the discovery with the given index.
+func (r *run) writeConfig(discovery int) error {
+	return r.plan.writeConfig(r.configPath, r.sidecarAddress, r.discoveries[discovery].address())
 }
 
-// awaitExit enters how the process ends.
+// awaitExit waits for the process to exit and records its status and CPU time.
 func (r *run) awaitExit() {
 	err := r.cmd.Wait()
 	r.journal.update(func() {
-		r.journal.exited, r.journal.exitError = time.Now(), err
+		r.journal.exitedAt, r.journal.exitError = time.Now(), err
 		r.journal.cpuTime = r.cmd.ProcessState.UserTime() + r.cmd.ProcessState.SystemTime()
 	})
 	close(r.exited)
 }
 
-// awaitReady waits until the process says that it is ready.
+// awaitReady waits until the process reports that it is ready.
 func (r *run) awaitReady() error {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for time.Since(r.journal.started) < startTimeout {
-		if response, err := client.Get("http://" + r.address + "/up"); err == nil {
+	for time.Since(r.journal.startedAt) < startTimeout {
+		if response, err := client.Get("http://" + r.sidecarAddress + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				r.journal.ready = time.Now()
+				r.journal.readyAt = time.Now()
 				return nil
 			}
 		}
 		select {
 		case <-r.exited:
-			return fmt.Errorf("it ended before it was ready: %s", r.log.String())
-		case <-time.After(stallInterval):
+			return fmt.Errorf("sidecar exited before it was ready: %s", r.stderr.String())
+		case <-time.After(tickInterval):
 		}
 	}
-	return errors.New("it was not ready in time")
+	return errors.New("sidecar was not ready within the start timeout")
 }
 
-// carryOut runs clients and events, then stops the process.
-func (r *run) carryOut() {
-	c := &clients{plan: &r.plan, address: r.address, journal: r.journal, end: r.clientsEnd}
+// execute runs the clients and the events, then terminates the process.
+func (r *run) execute() {
+	c := &clients{plan: &r.plan, address: r.sidecarAddress, journal: r.journal, done: r.clientsDone}
 	for n := range r.plan.Clients {
-		go c.run(n)
+		go c.runClient(n)
 	}
-	go c.stall()
+	go c.runStalledClient()
 	if r.plan.IdleFlood {
-		c.idleFlood()
+		c.startIdleFlood()
 	}
 	sampled := make(chan struct{})
-	go func() { r.sample(); close(sampled) }()
+	go func() { r.sampleUntilExit(); close(sampled) }()
 	r.runEvents()
 	r.terminate()
-	close(r.clientsEnd)
+	close(r.clientsDone)
 	<-r.exited
 	<-sampled
-	time.Sleep(afterKill)
-	r.forceNotices(time.Now())
-	r.journal.update(func() { r.journal.log = r.log.String() })
+	time.Sleep(clientReadGrace)
+	r.recordNotifyDeadlines(time.Now())
+	r.journal.update(func() { r.journal.log = r.stderr.String() })
 }
 
-// runEvents plays the events up to SIGTERM, and ends those that last.
+// runEvents starts events and ends those that last for a time, until it is time for SIGTERM.
 func (r *run) runEvents() {
 	events := r.plan.Events
-	stopAt := r.journal.ready.Add(r.plan.StopAt)
+	terminateAt := r.journal.readyAt.Add(r.plan.TerminateAt)
 	for {
-		next, do := stopAt, func() {}
+		next, do := terminateAt, func() {}
 		last := true
-		if len(events) > 0 && r.journal.ready.Add(events[0].At).Before(next) {
+		if len(events) > 0 && r.journal.readyAt.Add(events[0].At).Before(next) {
 			e := events[0]
-			next, do, last = r.journal.ready.Add(e.At), func() { r.begin(e); events = events[1:] }, false
+			next, do, last = r.journal.readyAt.Add(e.At), func() { r.startEvent(e); events = events[1:] }, false
 		}
-		for i, end := range r.ends {
+		for i, end := range r.eventEnds {
 			if end.at.Before(next) {
-				next, do, last = end.at, func() { r.ends = append(r.ends[:i:i], r.ends[i+1:]...); end.do() }, false
+				next, do, last = end.at, func() { r.eventEnds = append(r.eventEnds[:i:i], r.eventEnds[i+1:]...); end.restore() }, false
 			}
 		}
 		time.Sleep(time.Until(next))
@@ -185,89 +193,91 @@
 	}
 }
 
-// followedDiscovery returns the discovery that the latest configuration names.
-func (r *run) followedDiscovery() *discovery { return r.discovery[r.followed.Load()] }
+// currentDiscovery returns the discovery that the latest configuration names.
+func (r *run) currentDiscovery() *discovery { return r.discoveries[r.configuredDiscovery.Load()] }
 
-// endAfter has an event end after a time.
-func (r *run) endAfter(d time.Duration, do func()) {
-	r.ends = append(r.ends, delayedEnd{time.Now().Add(d), do})
+// scheduleEnd schedules the end of an event: restore is called after a delay.
+func (r *run) scheduleEnd(delay time.Duration, restore func()) {
+	r.eventEnds = append(r.eventEnds, eventEnd{time.Now().Add(delay), restore})
 }
 
-// begin begins an event.
-func (r *run) begin(e Event) {
-	d := r.followedDiscovery()
+// startEvent injects the fault of an event and schedules its end.
+func (r *run) startEvent(e Event) {
+	d := r.currentDiscovery()
 	s := r.servers[e.Server]
 	switch e.Kind {
 	case ServerFault:
 		s.setMode(e.Mode)
-		r.endAfter(e.For, func() { s.setMode(Healthy) })
-	case ServerDrain:
-		r.fleet.set("draining", s)
-		r.endAfter(e.For+drainGrace, func() { r.fleet.set("ready", s) })
-	case ServerGone:
-		r.fleet.set("gone", s)
-		r.endAfter(e.For+drainGrace, func() { r.fleet.set("ready", s) })
-	case AllGone:
-		r.fleet.set("gone", r.servers...)
-		r.endAfter(e.For, func() { r.fleet.set("ready", r.servers...) })
+		r.scheduleEnd(e.Duration, func() { s.setMode(Healthy) })
+	case ServerDraining:
+		r.endpoints.setLifecycle("draining", s)
+		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpoints.setLifecycle("ready", s) })
+	case ServerRemoved:
+		r.endpoints.setLifecycle("gone", s)
+		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpoints.setLifecycle("ready", s) })
+	case AllServersRemoved:
+		r.endpoints.setLifecycle("gone", r.servers...)
+		r.scheduleEnd(e.Duration, func() { r.endpoints.setLifecycle("ready", r.servers...) })
 	case DiscoveryDown:
-		r.setDiscovery(d, Down, e.For)
+		r.setDiscoveryMode(d, Down, e.Duration)
 	case DiscoverySlow:
-		r.setDiscovery(d, Slow, e.For)
+		r.setDiscoveryMode(d, Slow, e.Duration)
 	case DiscoveryOverloaded:
-		r.setDiscovery(d, Overloaded, e.For)
-	case UnusableAnswers:
-		r.setDiscovery(d, Unusable, e.For)
-	case WatchesSilent:
+		r.setDiscoveryMode(d, Overloaded, e.Duration)
+	case DiscoveryInvalidList:
+		r.setDiscoveryMode(d, InvalidList, e.Duration)
+	case WatchesUnanswered:
 		d.endWatches(true)
 	case WatchesReset:
 		d.endWatches(false)
-	case Move:
-		r.move(1 - int(r.followed.Load()))
-	case MoveAwayAndBack:
-		back := int(r.followed.Load())
-		r.move(1 - back)
+	case ChangeDiscovery:
+		r.changeDiscovery(1 - int(r.configuredDiscovery.Load()))
+	case ChangeDiscoveryAndBack:
+		back := int(r.configuredDiscovery.Load())
+		r.changeDiscovery(1 - back)
 		time.Sleep(signalDelay)
-		r.move(back)
-	case BadConfig:
-		r.breakConfig()
+		r.changeDiscovery(back)
+	case TruncatedConfig:
+		r.truncateConfig()
 	case Suspend:
-		r.suspend(e.For)
+		r.suspend(e.Duration)
 	}
 }
 
-// setDiscovery has a discovery answer in another mode for a time.
-func (r *run) setDiscovery(d *discovery, m DiscoveryMode, lasting time.Duration) {
-	r.forceNotices(time.Now())
-	d.setMode(m)
-	r.endAfter(lasting, func() { d.setMode(Up) })
+// setDiscoveryMode sets how a discovery answers for a time, after which it answers normally.
+func (r *run) setDiscoveryMode(d *discovery, mode DiscoveryMode, duration time.Duration) {
+	r.recordNotifyDeadlines(time.Now())
+	d.setMode(mode)
+	r.scheduleEnd(duration, func() { d.setMode(Up) })
 }
 
-// move names another discovery in a new configuration, and says so.
-func (r *run) move(to int) {
-	r.forceNotices(time.Now())
-	if err := r.configure(to); err != nil {
+// changeDiscovery writes a configuration that names the discovery with the given index and sends SIGHUP.
+func (r *run) changeDiscovery(to int) {
+	r.recordNotifyDeadlines(time.Now())
+	if err := r.writeConfig(to); err != nil {
 		return
 	}
-	r.followed.Store(int32(to))
-	r.journal.update(func() { r.journal.moves = append(r.journal.moves, move{to, time.Now()}) })
+	r.configuredDiscovery.Store(int32(to))
+	r.journal.update(func() {
+		r.journal.discoveryChanges = append(r.journal.discoveryChanges, discoveryChange{to, time.Now()})
+	})
 	r.signal(syscall.SIGHUP)
 }
 
-// breakConfig sends SIGHUP while the configuration file is half written, and again when it is whole.
-func (r *run) breakConfig() {
+// truncateConfig sends SIGHUP while the configuration file is truncated, and again once the file is complete.
+func (r *run) truncateConfig() {
 	text, err := os.ReadFile(r.configPath)
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(r.configPath, text[:halfWrittenBytes], 0o600) // where it fails, SIGHUP finds the whole file
+	_ = os.WriteFile(r.configPath, text[:truncatedConfigBytes], 0o600) // on failure, SIGHUP finds the complete file
 	r.signal(syscall.SIGHUP)
 	time.Sleep(signalDelay)
-	_ = r.configure(int(r.followed.Load()))
+	_ = r.writeConfig(int(r.configuredDiscovery.Load()))
 	r.signal(syscall.SIGHUP)
 }
 
-// suspend holds the process up.
+// suspend stops the process with SIGSTOP and resumes it after a time.
 func (r *run) suspend(d time.Duration) {
 	r.signal(syscall.SIGSTOP)
 	time.Sleep(d)
@@ -275,25 +285,29 @@
 	r.journal.update(func() { r.journal.suspended += d })
 }
 
-func (r *run) signal(s os.Signal) { _ = r.cmd.Process.Signal(s) } // it fails where the process has ended
+// signal sends a signal to the process. Sending fails if the process has exited, which is no fault.
+func (r *run) signal(s os.Signal) { _ = r.cmd.Process.Signal(s) }
 
-// forceNotices enters for withdrawals that were not told from when on they count as notified, by the discovery that is
-// followed now, as far as that is before a moment.
-func (r *run) forceNotices(now time.Time) {
-	since := r.followedDiscovery().reachableSince()
+// recordNotifyDeadlines records the notify deadline of each withdrawal for which it passed before now. The
+// deadline is notifyTimeout after the withdrawal, or after the current discovery last became reachable,
+// whichever is later. No deadline passes while discovery is unreachable. Callers that change how discovery is
+// reached call this first, so that deadlines that have passed by then are kept.
+func (r *run) recordNotifyDeadlines(now time.Time) {
+	since := r.currentDiscovery().reachableSince()
 	if since.IsZero() {
 		return
 	}
 	r.journal.update(func() {
-		for _, l := range r.journal.withdrawals {
-			forced := later(l.from, since).Add(notifiedWithin)
-			if l.forced.IsZero() && forced.Before(now) {
-				l.forced = forced
+		for _, w := range r.journal.withdrawals {
+			deadline := later(w.withdrawnAt, since).Add(notifyTimeout)
+			if w.notifyDeadline.IsZero() && deadline.Before(now) {
+				w.notifyDeadline = deadline
 			}
 		}
 	})
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -301,47 +315,47 @@
 	return b
 }
 
-// terminate sends SIGTERM, with other signals around it where the plan says so, and SIGKILL when the platform may at the
-// earliest. Clients go on until then.
+// terminate sends SIGTERM, with other signals before and after it as planned, and SIGKILL at the earliest
+// moment at which the platform may send it. Clients continue to send requests until the process ends.
 func (r *run) terminate() {
-	if r.plan.AllHang {
+	if r.plan.AllServersHang {
 		for _, s := range r.servers {
 			s.setMode(Hang)
 		}
 		time.Sleep(allHangLeadTime)
 	}
-	if r.plan.StopTwice {
+	if r.plan.TerminateTwice {
 		r.signal(syscall.SIGHUP)
 	}
-	r.journal.update(func() { r.journal.stopped = time.Now() })
+	r.journal.update(func() { r.journal.terminatedAt = time.Now() })
 	r.signal(syscall.SIGTERM)
-	kill := time.After(r.plan.killDelay() + r.plan.SuspendStopping)
-	if r.plan.SuspendStopping > 0 {
-		r.suspend(r.plan.SuspendStopping)
+	kill := time.After(r.plan.minKillDelay() + r.plan.SuspendAfterTerminate)
+	if r.plan.SuspendAfterTerminate > 0 {
+		r.suspend(r.plan.SuspendAfterTerminate)
 	}
-	if r.plan.StopTwice {
+	if r.plan.TerminateTwice {
 		time.Sleep(signalDelay)
 		r.signal(syscall.SIGHUP)
 		r.signal(syscall.SIGTERM)
 	}
 	select {
 	case <-kill:
-		r.journal.update(func() { r.journal.killed = time.Now() })
-		_ = r.cmd.Process.Kill() // it may have ended just now
+		r.journal.update(func() { r.journal.killedAt = time.Now() })
+		_ = r.cmd.Process.Kill() // fails if the process has just exited
 	case <-r.exited:
 	}
 }
 
-// close ends what start has begun.
+// close kills the process if it still runs, and closes the stand-ins.
 func (r *run) close() {
 	if r.cmd != nil && r.cmd.Process != nil {
-		_ = r.cmd.Process.Kill() // it may have ended
+		_ = r.cmd.Process.Kill() // fails if the process has exited
 		<-r.exited
 	}
 	for _, s := range r.servers {
 		s.listener.Close()
 	}
-	for _, d := range r.discovery {
+	for _, d := range r.discoveries {
 		if d != nil {
 			d.server.Close()
 		}
--- a/internal/soak/sample.go
+++ b/internal/soak/sample.go
@@ -9,14 +9,15 @@
 )
 
 const (
+	// The interval between two samples.
 	sampleInterval = 50 * time.Millisecond
-	// recoveryTime is how long a low share of requests served is excused after a fault: lists are read again, ejected
-	// servers are tried again.
-	recoveryTime = 2500 * time.Millisecond
+	// How long after a fault a low served fraction is excused: the sidecar first has to read the endpoint
+	// list again and to readmit ejected servers.
+	recoveryGrace = 2500 * time.Millisecond
 )
 
-// sample looks at the process and the stand-ins until the process ends.
-func (r *run) sample() {
+// sampleUntilExit samples the process and the state of the stand-ins until the process exits.
+func (r *run) sampleUntilExit() {
 	impairedUntil := time.Time{}
 	for {
 		select {
@@ -24,10 +25,10 @@
 			return
 		case <-time.After(sampleInterval):
 		}
-		r.sampleProcess()
+		r.sampleUsage()
 		now := time.Now()
-		if !r.halfOfServersHealthy(now) || r.followedDiscovery().reachableSince().IsZero() {
-			impairedUntil = now.Add(recoveryTime)
+		if !r.halfServersHealthy(now) || r.currentDiscovery().reachableSince().IsZero() {
+			impairedUntil = now.Add(recoveryGrace)
 		}
 		if now.Before(impairedUntil) {
 			r.journal.update(func() {
@@ -37,45 +38,45 @@
 	}
 }
 
-// sampleProcess enters how many descriptors and how much memory the process holds.
-func (r *run) sampleProcess() {
-	folder := fmt.Sprintf("/proc/%d/", r.cmd.Process.Pid)
-	descriptors, err := os.ReadDir(folder + "fd")
+// sampleUsage records how many descriptors and how much memory the process holds, if that is a new maximum.
+func (r *run) sampleUsage() {
+	procDir := fmt.Sprintf("/proc/%d/", r.cmd.Process.Pid)
+	descriptors, err := os.ReadDir(procDir + "fd")
 	if err != nil {
-		return // it has ended
+		return // the process has exited
 	}
-	status, err := os.ReadFile(folder + "status")
+	status, err := os.ReadFile(procDir + "status")
 	if err != nil {
 		return
 	}
 	memory := 0
 	for line := range bytes.Lines(status) {
 		if fields := bytes.Fields(line); len(fields) > 1 && string(fields[0]) == "VmRSS:" {
-			memory, _ = strconv.Atoi(string(fields[1])) // a number
+			memory, _ = strconv.Atoi(string(fields[1])) // the kernel writes a number
 		}
 	}
 	r.journal.update(func() {
-		r.journal.peak.descriptors = max(r.journal.peak.descriptors, len(descriptors))
-		r.journal.peak.memoryKB = max(r.journal.peak.memoryKB, memory)
+		r.journal.peakUsage.descriptors = max(r.journal.peakUsage.descriptors, len(descriptors))
+		r.journal.peakUsage.memoryKB = max(r.journal.peakUsage.memoryKB, memory)
 	})
 }
 
-// halfOfServersHealthy tells whether half of the servers at least can serve.
-func (r *run) halfOfServersHealthy(now time.Time) bool {
-	cold := make(map[int]bool)
+// halfServersHealthy reports whether at least half of the servers answer requests and are not in slow start.
+func (r *run) halfServersHealthy(now time.Time) bool {
+	slowStarting := make(map[int]bool)
 	r.journal.update(func() {
 		for _, start := range r.journal.slowStarts {
-			cold[start.server] = r.plan.SlowStart && now.Sub(start.at) < slowStartDuration
+			slowStarting[start.server] = r.plan.SlowStart && now.Sub(start.startedAt) < slowStartDuration
 		}
 	})
-	well := 0
-	for _, s := range r.fleet.ready() {
+	healthy := 0
+	for _, s := range r.endpoints.ready() {
 		switch s.currentMode() {
-		case Healthy, SecondAnswer, CloseIdle:
-			if !cold[s.number] {
-				well++
+		case Healthy, DuplicateResponse, CloseIdle:
+			if !slowStarting[s.number] {
+				healthy++
 			}
 		}
 	}
-	return 2*well >= len(r.servers)
+	return 2*healthy >= len(r.servers)
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,46 +12,47 @@
 	"time"
 )
 
-// ServerMode is how a server answers.
+// ServerMode determines how a server answers.
 type ServerMode int32
 
 // The modes of a server.
 const (
-	Healthy       ServerMode = iota
-	Hang                     // reads requests and answers none
-	ResetEarly               // resets the connection once a request has come
-	ResetAccepted            // resets each connection as it is accepted
-	HalfHead                 // resets the connection within the head of the response
-	HalfBody                 // closes the connection within the body
-	Error500                 // answers 500
-	NotProcessed             // answers that the request has not run
-	CloseIdle                // closes the connection a moment after each response
-	SecondAnswer             // sends each response twice
-	Noise                    // answers what is no HTTP
-	serverModes
+	Healthy           ServerMode = iota // answers 200
+	Hang                                // reads requests but never answers them
+	ResetRequest                        // resets the connection after reading a request
+	ResetConnection                     // resets each connection when it is accepted
+	TruncatedHeader                     // resets the connection in the middle of the response header
+	TruncatedBody                       // closes the connection in the middle of the response body
+	Error500                            // answers 500
+	NotProcessed                        // answers 503 with the header that states that the request did not run
+	CloseIdle                           // closes the connection shortly after each response
+	DuplicateResponse                   // sends each response twice
+	InvalidHTTP                         // answers with bytes that are not HTTP
+	serverModeCount
 )
 
-var modeNames = [serverModes]string{
-	"healthy", "hangs", "resets requests", "resets connections", "half a head", "half a body", "500", "503 not processed",
-	"closes idle connections", "answers twice", "noise",
+var modeNames = [serverModeCount]string{
+	"healthy", "hangs", "resets requests", "resets connections", "truncated header", "truncated body", "500",
+	"503 not processed", "closes idle connections", "duplicate response", "noise",
 }
 
 func (m ServerMode) String() string { return modeNames[m] }
 
 const (
-	serviceTime     = 8 * time.Millisecond
-	maxBodyReadable = 1 << 20
+	// How long a server works on a request before it answers.
+	serviceTime    = 8 * time.Millisecond
+	maxRequestBody = 1 << 20 // bytes
 )
 
-// server stands in for one server.
+// server is a stand-in of one server.
 type server struct {
-	number   int
-	zone     string
-	cell     int
-	journal  *journal
-	listener net.Listener
-	mode     atomic.Int32
-	answers  atomic.Int64 // responses made, for bodies that differ
+	number        int // its index, which determines its zone and cell
+	zone          string
+	cell          int
+	journal       *journal
+	listener      net.Listener
+	mode          atomic.Int32 // a ServerMode
+	responseCount atomic.Int64 // number of responses, which makes each body unique
 }
 
 func newServer(number int, j *journal) (*server, error) {
@@ -60,7 +61,7 @@
 		return nil, err
 	}
 	s := &server{number: number, zone: []string{"a", "b"}[number%2], cell: number % 3, journal: j, listener: listener}
-	go s.accept()
+	go s.acceptConnections()
 	return s, nil
 }
 
@@ -72,48 +73,48 @@
 
 func (s *server) currentMode() ServerMode { return ServerMode(s.mode.Load()) }
 
-// accept serves connections until the listener closes.
-func (s *server) accept() {
+// acceptConnections accepts and serves connections until the listener is closed.
+func (s *server) acceptConnections() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		if s.currentMode() == ResetAccepted {
+		if s.currentMode() == ResetConnection {
 			reset(c)
 			continue
 		}
-		go s.serve(c)
+		go s.serveConnection(c)
 	}
 }
 
-// reset closes a connection so that the other side is told of a failure.
+// reset closes a connection with a TCP reset, so that the peer sees an error.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a closed connection
+		_ = tcp.SetLinger(0) // fails only if the connection is closed
 	}
 	c.Close()
 }
 
-// serve answers the requests of one connection.
-func (s *server) serve(c net.Conn) {
+// serveConnection reads and answers the requests of one connection.
+func (s *server) serveConnection(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(request.Body, maxBodyReadable)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(request.Body, maxRequestBody)); err != nil {
 			return
 		}
 		a := &attempt{
 			server: s.number, id: request.Header.Get("X-Request-ID"), class: request.Header.Get("X-Priority-Class"),
-			begun: begun, complete: time.Now(), timeout: parseTimeout(request.Header.Get("X-Timeout")), mayRun: true,
+			startedAt: startedAt, readAt: time.Now(), timeout: parseTimeout(request.Header.Get("X-Timeout")), mayHaveRun: true,
 		}
 		s.journal.addAttempt(a)
 		if !s.respond(c, a) {
@@ -122,7 +123,8 @@
 	}
 }
 
-// parseTimeout reads whole milliseconds, as the sidecar writes them.
+// parseTimeout parses the value of X-Timeout in the form that the sidecar sends: whole milliseconds with the
+// suffix m. It returns 0 for any other value.
 func parseTimeout(text string) time.Duration {
 	n, err := strconv.Atoi(strings.TrimSuffix(text, "m"))
 	if err != nil {
@@ -131,37 +133,37 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// respond answers an attempt in the present mode, and tells whether the connection goes on.
+// respond answers an attempt as the current mode requires. It reports whether the connection stays open.
 func (s *server) respond(c net.Conn, a *attempt) bool {
 	time.Sleep(serviceTime)
-	body := fmt.Sprintf("%s by %d, answer %d", a.id, s.number, s.answers.Add(1))
+	body := fmt.Sprintf("%s by %d, answer %d", a.id, s.number, s.responseCount.Add(1))
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch s.currentMode() {
 	case Hang:
 		_, _ = io.Copy(io.Discard, c) // until the sidecar closes the connection
 		return false
-	case ResetEarly, ResetAccepted:
+	case ResetRequest, ResetConnection:
 		reset(c)
 		return false
-	case HalfHead:
+	case TruncatedHeader:
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le")
 		reset(c)
 		return false
-	case HalfBody:
+	case TruncatedBody:
 		_, _ = io.WriteString(c, response[:len(response)-len(body)/2])
 		return false
-	case Noise:
+	case InvalidHTTP:
 		_, _ = io.WriteString(c, "noise and more\r\n\r\n")
 		return false
 	case Error500:
 		return s.write(c, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 	case NotProcessed:
-		s.journal.neverRan(a)
+		s.journal.recordNotProcessed(a)
 		return s.write(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	s.journal.answer(a, body)
+	s.journal.recordResponse(a, body)
 	switch s.currentMode() {
-	case SecondAnswer:
+	case DuplicateResponse:
 		return s.write(c, response+response)
 	case CloseIdle:
 		_ = s.write(c, response)
@@ -171,6 +173,7 @@
 	return s.write(c, response)
 }
 
+// write writes a response and reports whether that succeeded.
 func (s *server) write(c net.Conn, text string) bool {
 	_, err := io.WriteString(c, text)
 	return err == nil
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -5,13 +5,16 @@
 	"time"
 )
 
-const stallInterval = 5 * time.Millisecond
+// tickInterval is the interval between ticks of a stallMeter. The start of the sidecar is polled at the same
+// interval.
+const tickInterval = 5 * time.Millisecond
 
-// stallMeter measures how long the machine stood still: a goroutine that only ticks.
+// stallMeter measures stalls of the machine: its goroutine does nothing but tick, so a late tick shows a
+// stall.
 type stallMeter struct {
-	quit chan struct{}
-	done sync.WaitGroup
-	max  time.Duration // how late a tick came at most; to be read after stop
+	quit    chan struct{} // closed to stop ticking
+	done    sync.WaitGroup
+	longest time.Duration // greatest delay of a tick; to be read once the goroutine has ended
 }
 
 func startStallMeter() *stallMeter {
@@ -25,17 +28,17 @@
 		select {
 		case <-m.quit:
 			return
-		case <-time.After(stallInterval):
+		case <-time.After(tickInterval):
 		}
 		now := time.Now()
-		m.max = max(m.max, now.Sub(last)-stallInterval)
+		m.longest = max(m.longest, now.Sub(last)-tickInterval)
 		last = now
 	}
 }
 
-// stop returns the longest stall.
+// stop stops the meter and returns the longest stall.
 func (m *stallMeter) stop() time.Duration {
 	close(m.quit)
 	m.done.Wait()
-	return m.max
+	return m.longest
 }
