--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -25,10 +25,11 @@
 	// A request that is sent later than this after SIGTERM must be answered before SIGKILL.
 	shutdownResponseDelay = 700 * time.Millisecond
 
-	// In each servedWindow in which minWindowRequests are sent, at least minServedFraction of the requests
-	// must be served.
-	servedWindow      = 2 * time.Second
+	// The fraction of requests that are served is checked in windows of this length.
+	servedWindow = 2 * time.Second
+	// At least this fraction of the requests of a window must be served.
 	minServedFraction = 0.2
+	// Windows with fewer requests are not checked.
 	minWindowRequests = 20
 )
 
@@ -98,8 +99,8 @@
 		serverBodies[a.id][a.responseBody] = a.responseBody != ""
 	}
 	for _, r := range c.journal.requests {
-		if r.status == 200 && !serverBodies[r.id][r.body] {
-			c.addFinding("body", r.endedAt, "request %s got body %q, which no server sent for it", r.id, r.body)
+		if r.status == 200 && !serverBodies[r.id][r.responseBody] {
+			c.addFinding("body", r.endedAt, "request %s got body %q, which no server sent for it", r.id, r.responseBody)
 		}
 		if r.disconnectedAt.IsZero() {
 			c.checkAnswered(r)
@@ -112,7 +113,7 @@
 // Responses come in the order of the requests, so the timeout of a pipelined request counts from the response
 // to the previous request. If that response is missing, the check reports only the previous request.
 func (c *checker) checkAnswered(r *clientRequest) {
-	last := c.processEnd()
+	end := c.processEnd()
 	timeoutFrom := r.sentAt
 	if r.previous != nil {
 		if !r.previous.answered {
@@ -126,14 +127,14 @@
 		c.addFinding("late", r.endedAt, "request %s (class %s) answered %v after its timeout",
 			r.id, r.class, r.endedAt.Sub(timeoutFrom.Add(r.timeout)))
 	case r.answered:
-	case c.journal.killedAt.IsZero() && r.sentAt.Before(last):
-		// It exited without SIGKILL, so it must have answered what it accepted.
+	case c.journal.killedAt.IsZero() && r.sentAt.Before(end):
+		// The process exited without SIGKILL, so it must have answered all requests that it accepted.
 		c.addUnanswered(r, "the process exited")
-	case due.Before(last):
+	case due.Before(end):
 		c.addUnanswered(r, "its timeout has passed")
-	case r.sentAt.After(c.journal.terminatedAt.Add(shutdownResponseDelay+c.tolerance)) && r.sentAt.Before(last.Add(-c.tolerance)):
+	case r.sentAt.After(c.journal.terminatedAt.Add(shutdownResponseDelay+c.tolerance)) && r.sentAt.Before(end.Add(-c.tolerance)):
 		c.addUnanswered(r, "it was sent after SIGTERM, well before SIGKILL")
-	case !r.endedAt.IsZero() && r.endedAt.Before(last.Add(-c.tolerance)):
+	case !r.endedAt.IsZero() && r.endedAt.Before(end.Add(-c.tolerance)):
 		c.addUnanswered(r, "its connection was closed")
 	}
 }
@@ -147,7 +148,7 @@
 		return
 	}
 	c.addFinding("unanswered", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s): %s after %v",
-		r.id, r.class, r.timeout, r.connNumber, why, r.failure, r.endedAt.Sub(r.sentAt))
+		r.id, r.class, r.timeout, r.connection, why, r.failure, r.endedAt.Sub(r.sentAt))
 }
 
 // checkAttempts checks that no request runs twice unless its class permits it, that no attempt begins after
@@ -202,19 +203,19 @@
 // drain grace has passed.
 func (c *checker) checkWithdrawals() {
 	for _, w := range c.journal.withdrawals {
-		notified := w.notifiedAt
-		if notified.IsZero() || !w.notifyDeadline.IsZero() && w.notifyDeadline.Before(notified) {
-			notified = w.notifyDeadline
+		notifiedAt := w.notifiedAt
+		if notifiedAt.IsZero() || !w.notifyDeadline.IsZero() && w.notifyDeadline.Before(notifiedAt) {
+			notifiedAt = w.notifyDeadline
 		}
-		if notified.IsZero() {
+		if notifiedAt.IsZero() {
 			continue
 		}
-		limit := notified.Add(drainGrace + c.tolerance)
+		limit := notifiedAt.Add(drainGrace + c.tolerance)
 		for _, a := range c.journal.attempts {
 			returned := !w.returnedAt.IsZero() && a.startedAt.After(w.returnedAt)
 			if a.server == w.server && a.startedAt.After(limit) && !returned {
 				c.addFinding("withdrawn server", a.startedAt, "request %s sent to server %d %v after its withdrawal counted as notified",
-					a.id, a.server, a.startedAt.Sub(notified))
+					a.id, a.server, a.startedAt.Sub(notifiedAt))
 			}
 		}
 	}
@@ -233,7 +234,7 @@
 		}
 		var times []time.Duration
 		for _, a := range c.journal.attempts {
-			if age := a.startedAt.Sub(start.startedAt); a.server == start.server && a.startedAt.After(start.notifiedAt) && age < slowStartDuration {
+			if age := a.startedAt.Sub(start.at); a.server == start.server && a.startedAt.After(start.notifiedAt) && age < slowStartDuration {
 				times = append(times, age)
 			}
 		}
@@ -247,7 +248,7 @@
 				deviation = 3*math.Sqrt(expected) + 3
 			}
 			if float64(last-first) > expected+deviation {
-				c.addFinding("slow start", start.startedAt, "server %d got %d requests in the %v from %v after its start on, want at most %.0f plus %.0f for random variation",
+				c.addFinding("slow start", start.at, "server %d got %d requests in the %v that began %v after its start, want at most %.0f plus %.0f for random variation",
 					start.server, last-first, overloadWindow, times[first], expected, deviation)
 				break
 			}
@@ -277,7 +278,7 @@
 
 // requestedFullList reports whether one of the calls before a call requested the full list from the same
 // discovery, since the last configuration that named that discovery. A call to the other discovery may be
-// recorded in between: it was sent before the change.
+// recorded in between if it was sent before the change.
 func (c *checker) requestedFullList(call listCall, before []listCall) bool {
 	var changedAt time.Time
 	for _, change := range c.journal.discoveryChanges {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,15 +14,18 @@
 
 // The classes of requests. They differ in whether a request may be repeated.
 const (
-	classIdempotent      = "look"   // any number of repeats
-	classIdempotentByKey = "update" // servers drop repeats within the deduplication scope and window
-	classNonIdempotent   = "order"  // no repeats: the request must not run twice
+	// Requests may be repeated any number of times.
+	classIdempotent = "look"
+	// Requests carry an idempotency key. Servers drop repeats within the deduplication scope and window.
+	classIdempotentByKey = "update"
+	// Requests must not be repeated once they may have run.
+	classNonIdempotent = "order"
 )
 
 const (
 	// A client waits up to this long before each request.
 	maxRequestPause = 120 * time.Millisecond
-	// Now and then a client keeps its connection idle for this long.
+	// Occasionally a client keeps its connection idle for this long instead of sending a request.
 	idlePause = 2 * time.Second
 	// A client waits this long beyond a request's timeout for the response. A stalled client waits this long
 	// in all.
@@ -53,8 +56,8 @@
 	idleSince  time.Time // since when the connection has no open request
 }
 
-// runClient runs one client until the clients are stopped.
-func (cs *clients) runClient(number int) {
+// run runs one client until the clients are stopped.
+func (cs *clients) run(number int) {
 	c := &client{clients: cs, rng: rand.New(rand.NewPCG(cs.plan.Seed, uint64(number)))}
 	defer c.disconnect()
 	for !c.isDone() {
@@ -112,7 +115,7 @@
 func (c *client) newRequest() (*clientRequest, string) {
 	class := []string{classIdempotent, classIdempotentByKey, classNonIdempotent}[c.rng.IntN(3)]
 	timeout := c.plan.Deadline * time.Duration(40+c.rng.IntN(61)) / 100
-	r := &clientRequest{id: fmt.Sprintf("r%d", c.requestCount.Add(1)), class: class, timeout: timeout, connNumber: c.connNumber}
+	r := &clientRequest{id: fmt.Sprintf("r%d", c.requestCount.Add(1)), class: class, timeout: timeout, connection: c.connNumber}
 	method, headers := "GET", ""
 	if class != classIdempotent {
 		method, headers = "POST", "Content-Length: 4\r\n"
@@ -128,9 +131,9 @@
 	return r, text
 }
 
-// send writes the requests in text, at once or in two parts, and records them.
-func (c *client) send(text string, inPieces bool, requests ...*clientRequest) {
-	if inPieces {
+// send writes text, which holds the given requests, at once or in two parts, and records the requests.
+func (c *client) send(text string, inParts bool, requests ...*clientRequest) {
+	if inParts {
 		half := len(text) / 2
 		if _, err := io.WriteString(c.conn, text[:half]); err != nil {
 			c.disconnect()
@@ -152,9 +155,9 @@
 }
 
 // sendAndReceive sends a request and reads its response.
-func (c *client) sendAndReceive(inPieces bool) {
+func (c *client) sendAndReceive(inParts bool) {
 	r, text := c.newRequest()
-	c.send(text, inPieces, r)
+	c.send(text, inParts, r)
 	if c.conn != nil {
 		c.receive(r)
 	}
@@ -163,11 +166,12 @@
 // receive reads the response to a request and records it. It disconnects if the connection can't be reused,
 // and reports whether the connection stays open.
 func (c *client) receive(r *clientRequest) (open bool) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(r.timeout + overdueWait)) // fails only if the connection is closed
+	// Fails only if the connection is closed, and then reading fails too.
+	_ = c.conn.SetReadDeadline(time.Now().Add(r.timeout + overdueWait))
 	response, err := http.ReadResponse(c.reader, nil)
-	var body []byte
+	var responseBody []byte
 	if err == nil {
-		body, err = io.ReadAll(response.Body)
+		responseBody, err = io.ReadAll(response.Body)
 	}
 	c.journal.update(func() {
 		r.endedAt = time.Now()
@@ -175,7 +179,7 @@
 			r.failure = err.Error()
 			return
 		}
-		r.answered, r.status, r.body = true, response.StatusCode, string(body)
+		r.answered, r.status, r.responseBody = true, response.StatusCode, string(responseBody)
 	})
 	c.idleSince = time.Now()
 	if err != nil || response.Close {
@@ -239,8 +243,8 @@
 	}
 }
 
-// startIdleFlood opens as many idle connections as the sidecar may have descriptors, and reopens each that is
-// closed.
+// startIdleFlood opens as many idle connections as the sidecar may have descriptors, which is more than it
+// can accept, and replaces each connection that is closed.
 func (cs *clients) startIdleFlood() {
 	for range cs.plan.MaxDescriptors {
 		go func() {
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -17,13 +17,15 @@
 	// A server is overloaded if it gets more than overloadFactor times its capacity for overloadWindow.
 	overloadFactor = 1.0
 	overloadWindow = 2 * time.Second
-	// The quota of the only tenant, in requests per second. It equals the capacity of all servers together.
+	// The quota of the only tenant, in requests per second. checkSlowStarts takes it as the capacity of all
+	// servers together.
 	tenantQuota = 100.0
-	// The time after which servers are said to close idle connections.
+	// The time after which servers close idle connections, according to the configuration.
 	serverIdleTimeout = 5 * time.Second
 	// The sidecar's timeout for connecting to a server.
-	dialTimeout   = 250 * time.Millisecond
-	memoryLimitMB = 96 // the sidecar's memory limit
+	dialTimeout = 250 * time.Millisecond
+	// The sidecar's memory limit.
+	memoryLimitMB = 96
 )
 
 // writeConfig writes the sidecar's configuration file atomically: it writes a new file and renames it.
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -35,7 +35,7 @@
 	lifecycle  string
 	startedAt  time.Time   // zero: long before the run
 	withdrawal *withdrawal // the period of withdrawal that the change is part of; nil: the server is ready
-	slowStart  *slowStart  // the start that the change announces; nil: none
+	start      *slowStart  // the start that the change announces; nil: none
 }
 
 // endpointList is the endpoint list that all discoveries serve. Each discovery numbers its versions
@@ -45,7 +45,7 @@
 
 	mu         sync.Mutex
 	changes    []endpointChange
-	current    []endpointChange // the latest state of each server, by index
+	current    []endpointChange // the current state of each server, by the server's index
 	nextChange chan struct{}    // closed at the next change
 }
 
@@ -64,7 +64,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, s := range servers {
-		previous := l.current[s.number]
+		previous := l.current[s.index]
 		if previous.lifecycle == lifecycle {
 			continue
 		}
@@ -73,14 +73,14 @@
 			switch {
 			case lifecycle == "ready":
 				previous.withdrawal.returnedAt, next.withdrawal, next.startedAt = now, nil, now
-				next.slowStart = &slowStart{server: s.number, startedAt: now}
-				l.journal.slowStarts = append(l.journal.slowStarts, next.slowStart)
+				next.start = &slowStart{server: s.index, at: now}
+				l.journal.slowStarts = append(l.journal.slowStarts, next.start)
 			case previous.withdrawal == nil:
-				next.withdrawal = &withdrawal{server: s.number, withdrawnAt: now}
+				next.withdrawal = &withdrawal{server: s.index, withdrawnAt: now}
 				l.journal.withdrawals = append(l.journal.withdrawals, next.withdrawal)
 			}
 		})
-		l.current[s.number] = next
+		l.current[s.index] = next
 		l.changes = append(l.changes, next)
 	}
 	close(l.nextChange)
@@ -99,14 +99,14 @@
 	return ready
 }
 
-// changesSince returns the total number of changes, the current state of the servers that changed after the
-// first known changes, and a channel that is closed at the next change. If known is negative, it returns the
-// state of all listed servers.
-func (l *endpointList) changesSince(known int) (total int, entries []endpointChange, next <-chan struct{}) {
+// changesSince returns the total number of changes, the current state of each server that changed in the
+// changes from the given index on, and a channel that is closed at the next change. If index is negative, it
+// returns the current state of all listed servers.
+func (l *endpointList) changesSince(index int) (total int, entries []endpointChange, next <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	included := make(map[int]bool)
-	if known < 0 {
+	if index < 0 {
 		for _, c := range l.current {
 			if c.lifecycle != "gone" {
 				entries = append(entries, c)
@@ -114,17 +114,17 @@
 		}
 		return len(l.changes), entries, l.nextChange
 	}
-	for _, c := range l.changes[min(known, len(l.changes)):] {
-		if !included[c.server.number] {
-			included[c.server.number] = true
-			entries = append(entries, l.current[c.server.number])
+	for _, c := range l.changes[min(index, len(l.changes)):] {
+		if !included[c.server.index] {
+			included[c.server.index] = true
+			entries = append(entries, l.current[c.server.index])
 		}
 	}
 	return len(l.changes), entries, l.nextChange
 }
 
-// markNotified records that a response was written to the sidecar: the withdrawals and starts in its entries
-// count as notified. If it was a full list, those of all changes so far do.
+// markNotified records that an endpoint list was written to the sidecar: the withdrawals and starts in its
+// entries count as notified. If it was a full list, those in the first count changes do.
 func (l *endpointList) markNotified(count int, full bool, entries []endpointChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,8 +137,8 @@
 			if c.withdrawal != nil && c.withdrawal.notifiedAt.IsZero() {
 				c.withdrawal.notifiedAt = now
 			}
-			if c.slowStart != nil && c.slowStart.notifiedAt.IsZero() {
-				c.slowStart.notifiedAt = now
+			if c.start != nil && c.start.notifiedAt.IsZero() {
+				c.start.notifiedAt = now
 			}
 		}
 	})
@@ -146,11 +146,11 @@
 
 // discovery is a stand-in of discovery, with its own listener and version numbers.
 type discovery struct {
-	number      int // its index
-	endpoints   *endpointList
-	baseVersion int // version of the list before the first change
-	listener    net.Listener
-	server      *http.Server
+	index        int // in run.discovery
+	endpointList *endpointList
+	baseVersion  int // version of the list before the first change
+	listener     net.Listener
+	server       *http.Server
 
 	mu              sync.Mutex
 	mode            DiscoveryMode
@@ -159,13 +159,13 @@
 	leaveUnanswered bool          // interrupted watches stay open without an answer; otherwise they are reset
 }
 
-func newDiscovery(number, baseVersion int, l *endpointList) (*discovery, error) {
+func newDiscovery(index, baseVersion int, l *endpointList) (*discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &discovery{
-		number: number, endpoints: l, baseVersion: baseVersion, listener: listener, reachableFrom: time.Now(),
+		index: index, endpointList: l, baseVersion: baseVersion, listener: listener, reachableFrom: time.Now(),
 		interrupted: make(chan struct{}),
 	}
 	d.server = &http.Server{Handler: d}
@@ -205,8 +205,8 @@
 	d.interrupted = make(chan struct{})
 }
 
-// reachableSince returns when discovery became reachable, from which on changes count as notified after
-// notifyTimeout. It returns the zero time if discovery is not reachable.
+// reachableSince returns when discovery last became reachable, or the zero time if it is not reachable. The
+// notifyTimeout of a change does not start before that time.
 func (d *discovery) reachableSince() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,7 +215,7 @@
 
 // ServeHTTP handles a call for the endpoint list.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.endpoints.journal.addListCall(listCall{d.number, time.Now(), r.URL.RawQuery})
+	d.endpointList.journal.addListCall(listCall{d.index, time.Now(), r.URL.RawQuery})
 	d.mu.Lock()
 	mode, interrupted := d.mode, d.interrupted
 	if mode == Up && d.reachableFrom.IsZero() {
@@ -246,7 +246,7 @@
 	waitMS, _ := strconv.Atoi(r.FormValue("wait")) // 0 if the parameter is missing
 	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
 	for {
-		count, entries, changed := d.endpoints.changesSince(known)
+		count, entries, changed := d.endpointList.changesSince(known)
 		if known < 0 || count > known {
 			d.writeList(w, count, known < 0, entries)
 			return
@@ -292,12 +292,13 @@
 	half := 0
 	if count%3 == 1 {
 		half = len(list) / 2
-		_, _ = w.Write([]byte(list[:half])) // fails only if the sidecar closed the connection, as below
+		// Fails only if the sidecar closed the connection, and then the write below fails too.
+		_, _ = w.Write([]byte(list[:half]))
 		http.NewResponseController(w).Flush()
 		time.Sleep(serviceTime)
 	}
 	_, err := w.Write([]byte(list[half:]))
 	if err == nil {
-		d.endpoints.markNotified(count, full, entries)
+		d.endpointList.markNotified(count, full, entries)
 	}
 }
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -22,14 +22,14 @@
 	id             string
 	class          string
 	previous       *clientRequest // pipelined request before this one, still open when this one was sent; nil: none
-	connNumber     int            // number of its connection
+	connection     int            // number of its connection
 	idleBefore     time.Duration  // how long its connection had no open request before this one was sent
 	sentAt         time.Time      // when its last byte was written
 	timeout        time.Duration  // of the client, counted from sentAt
 	disconnectedAt time.Time      // when the client closed the connection early; zero: it waited for the response
 	endedAt        time.Time      // when the response was complete or the connection closed; zero: neither in this run
 	status         int            // zero: no response
-	body           string
+	responseBody   string
 	failure        string // error with which the connection ended before a complete response
 	answered       bool   // whether a complete response came
 }
@@ -59,7 +59,7 @@
 // slowStart is a start of a server, for which the settings may require a slow start.
 type slowStart struct {
 	server     int
-	startedAt  time.Time // when the server was listed as ready again
+	at         time.Time // when the server was listed as ready again
 	notifiedAt time.Time // when discovery wrote the start to the sidecar; zero: not yet
 }
 
@@ -109,10 +109,10 @@
 }
 
 // recordResponse records the body of the response that a server is about to send for an attempt.
-func (j *journal) recordResponse(a *attempt, body string) {
+func (j *journal) recordResponse(a *attempt, responseBody string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	a.responseBody = body
+	a.responseBody = responseBody
 }
 
 // recordNotProcessed records that a server answers that an attempt did not run.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// Times in a run, counted from the moment the sidecar reports that it is ready.
+// Times in a run count from the moment the sidecar reports that it is ready.
 const (
-	// Events start between earliestFault and latestFault.
+	// No event starts before this time.
 	earliestFault = 500 * time.Millisecond
-	latestFault   = 6 * time.Second
-	// SIGTERM is sent between earliestTerminate and latestTerminate.
+	// All events are planned to start before this time.
+	latestFault = 6 * time.Second
+	// SIGTERM is not sent before this time.
 	earliestTerminate = 4 * time.Second
-	latestTerminate   = 7 * time.Second // and this
+	// SIGTERM is planned to be sent before this time.
+	latestTerminate = 7 * time.Second
 
 	// The fraction of runs in which idle clients use up the sidecar's descriptors.
 	idleFloodFraction = 0.25
@@ -163,7 +165,7 @@
 	return text.String()
 }
 
-// minKillDelay returns the shortest time after SIGTERM in which the platform may send SIGKILL.
+// minKillDelay returns how long after SIGTERM the platform may send SIGKILL at the earliest.
 func (p *Plan) minKillDelay() time.Duration {
 	return min(p.Deadline, 3*time.Second) + 700*time.Millisecond
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -36,22 +36,22 @@
 	plan                Plan
 	journal             *journal
 	servers             []*server // stand-ins of the servers
-	endpoints           *endpointList
-	discoveries         [2]*discovery // two stand-ins of discovery, both with the list in endpoints
+	endpointList        *endpointList
+	discovery           [2]*discovery // two stand-ins of discovery, both with the list in endpointList
 	configuredDiscovery atomic.Int32  // index of the discovery that the latest configuration names
 	configPath          string
-	sidecarAddress      string // where the sidecar listens for clients
+	address             string // where the sidecar listens for clients
 	cmd                 *exec.Cmd
-	stderr              bytes.Buffer  // log of the sidecar
+	log                 bytes.Buffer  // standard error of the sidecar, which holds its log
 	exited              chan struct{} // closed when the process has exited
 	clientsDone         chan struct{} // closed to stop the clients
 	eventEnds           []eventEnd    // pending ends of events that last for a time
 }
 
-// eventEnd ends an event: restore undoes the fault.
+// eventEnd ends an event: action undoes the fault.
 type eventEnd struct {
-	at      time.Time
-	restore func()
+	at     time.Time
+	action func()
 }
 
 // Run executes a plan with the sidecar at the path program and returns the report. It writes the sidecar's
@@ -76,24 +76,24 @@
 		}
 		r.servers = append(r.servers, s)
 	}
-	r.endpoints = newEndpointList(r.servers, r.journal)
+	r.endpointList = newEndpointList(r.servers, r.journal)
 	for n, version := range []int{firstBaseVersion, secondBaseVersion} {
 		var err error
-		if r.discoveries[n], err = newDiscovery(n, version, r.endpoints); err != nil {
+		if r.discovery[n], err = newDiscovery(n, version, r.endpointList); err != nil {
 			return err
 		}
 	}
 	var err error
-	if r.sidecarAddress, err = freeAddress(); err != nil {
+	if r.address, err = freeAddress(); err != nil {
 		return err
 	}
 	r.configPath = filepath.Join(dir, fmt.Sprintf("soak-%d.json", r.plan.Seed))
-	if err := r.writeConfig(0); err != nil {
+	if err := r.writeConfigFor(0); err != nil {
 		return err
 	}
 	r.cmd = exec.Command(program)
 	r.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+r.configPath)
-	r.cmd.Stderr = &r.stderr
+	r.cmd.Stderr = &r.log
 	r.journal.startedAt = time.Now()
 	if err := r.cmd.Start(); err != nil {
 		return err
@@ -112,9 +112,9 @@
 	return l.Addr().String(), l.Close()
 }
 
-// writeConfig writes a configuration file that names the discovery with the given index.
-func (r *run) writeConfig(discovery int) error {
-	return r.plan.writeConfig(r.configPath, r.sidecarAddress, r.discoveries[discovery].address())
+// writeConfigFor writes a configuration file that names the discovery with the given index.
+func (r *run) writeConfigFor(discovery int) error {
+	return r.plan.writeConfig(r.configPath, r.address, r.discovery[discovery].address())
 }
 
 // awaitExit waits for the process to exit and records its status and CPU time.
@@ -131,7 +131,7 @@
 func (r *run) awaitReady() error {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	for time.Since(r.journal.startedAt) < startTimeout {
-		if response, err := client.Get("http://" + r.sidecarAddress + "/up"); err == nil {
+		if response, err := client.Get("http://" + r.address + "/up"); err == nil {
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
 				r.journal.readyAt = time.Now()
@@ -140,7 +140,7 @@
 		}
 		select {
 		case <-r.exited:
-			return fmt.Errorf("sidecar exited before it was ready: %s", r.stderr.String())
+			return fmt.Errorf("sidecar exited before it was ready: %s", r.log.String())
 		case <-time.After(tickInterval):
 		}
 	}
@@ -149,9 +149,9 @@
 
 // execute runs the clients and the events, then terminates the process.
 func (r *run) execute() {
-	c := &clients{plan: &r.plan, address: r.sidecarAddress, journal: r.journal, done: r.clientsDone}
+	c := &clients{plan: &r.plan, address: r.address, journal: r.journal, done: r.clientsDone}
 	for n := range r.plan.Clients {
-		go c.runClient(n)
+		go c.run(n)
 	}
 	go c.runStalledClient()
 	if r.plan.IdleFlood {
@@ -166,7 +166,7 @@
 	<-sampled
 	time.Sleep(clientReadGrace)
 	r.recordNotifyDeadlines(time.Now())
-	r.journal.update(func() { r.journal.log = r.stderr.String() })
+	r.journal.update(func() { r.journal.log = r.log.String() })
 }
 
 // runEvents starts events and ends those that last for a time, until it is time for SIGTERM.
@@ -174,31 +174,31 @@
 	events := r.plan.Events
 	terminateAt := r.journal.readyAt.Add(r.plan.TerminateAt)
 	for {
-		next, do := terminateAt, func() {}
+		next, action := terminateAt, func() {}
 		last := true
 		if len(events) > 0 && r.journal.readyAt.Add(events[0].At).Before(next) {
 			e := events[0]
-			next, do, last = r.journal.readyAt.Add(e.At), func() { r.startEvent(e); events = events[1:] }, false
+			next, action, last = r.journal.readyAt.Add(e.At), func() { r.startEvent(e); events = events[1:] }, false
 		}
 		for i, end := range r.eventEnds {
 			if end.at.Before(next) {
-				next, do, last = end.at, func() { r.eventEnds = append(r.eventEnds[:i:i], r.eventEnds[i+1:]...); end.restore() }, false
+				next, action, last = end.at, func() { r.eventEnds = append(r.eventEnds[:i:i], r.eventEnds[i+1:]...); end.action() }, false
 			}
 		}
 		time.Sleep(time.Until(next))
 		if last {
 			return
 		}
-		do()
+		action()
 	}
 }
 
 // currentDiscovery returns the discovery that the latest configuration names.
-func (r *run) currentDiscovery() *discovery { return r.discoveries[r.configuredDiscovery.Load()] }
+func (r *run) currentDiscovery() *discovery { return r.discovery[r.configuredDiscovery.Load()] }
 
-// scheduleEnd schedules the end of an event: restore is called after a delay.
-func (r *run) scheduleEnd(delay time.Duration, restore func()) {
-	r.eventEnds = append(r.eventEnds, eventEnd{time.Now().Add(delay), restore})
+// scheduleEnd schedules the end of an event: action is called after a delay.
+func (r *run) scheduleEnd(delay time.Duration, action func()) {
+	r.eventEnds = append(r.eventEnds, eventEnd{time.Now().Add(delay), action})
 }
 
 // startEvent injects the fault of an event and schedules its end.
@@ -210,14 +210,14 @@
 		s.setMode(e.Mode)
 		r.scheduleEnd(e.Duration, func() { s.setMode(Healthy) })
 	case ServerDraining:
-		r.endpoints.setLifecycle("draining", s)
-		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpoints.setLifecycle("ready", s) })
+		r.endpointList.setLifecycle("draining", s)
+		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpointList.setLifecycle("ready", s) })
 	case ServerRemoved:
-		r.endpoints.setLifecycle("gone", s)
-		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpoints.setLifecycle("ready", s) })
+		r.endpointList.setLifecycle("gone", s)
+		r.scheduleEnd(e.Duration+drainGrace, func() { r.endpointList.setLifecycle("ready", s) })
 	case AllServersRemoved:
-		r.endpoints.setLifecycle("gone", r.servers...)
-		r.scheduleEnd(e.Duration, func() { r.endpoints.setLifecycle("ready", r.servers...) })
+		r.endpointList.setLifecycle("gone", r.servers...)
+		r.scheduleEnd(e.Duration, func() { r.endpointList.setLifecycle("ready", r.servers...) })
 	case DiscoveryDown:
 		r.setDiscoveryMode(d, Down, e.Duration)
 	case DiscoverySlow:
@@ -254,7 +254,7 @@
 // changeDiscovery writes a configuration that names the discovery with the given index and sends SIGHUP.
 func (r *run) changeDiscovery(to int) {
 	r.recordNotifyDeadlines(time.Now())
-	if err := r.writeConfig(to); err != nil {
+	if err := r.writeConfigFor(to); err != nil {
 		return
 	}
 	r.configuredDiscovery.Store(int32(to))
@@ -273,7 +273,7 @@
 	_ = os.WriteFile(r.configPath, text[:truncatedConfigBytes], 0o600) // on failure, SIGHUP finds the complete file
 	r.signal(syscall.SIGHUP)
 	time.Sleep(signalDelay)
-	_ = r.writeConfig(int(r.configuredDiscovery.Load()))
+	_ = r.writeConfigFor(int(r.configuredDiscovery.Load()))
 	r.signal(syscall.SIGHUP)
 }
 
@@ -299,9 +299,9 @@
 	}
 	r.journal.update(func() {
 		for _, w := range r.journal.withdrawals {
-			deadline := later(w.withdrawnAt, since).Add(notifyTimeout)
-			if w.notifyDeadline.IsZero() && deadline.Before(now) {
-				w.notifyDeadline = deadline
+			notifyDeadline := later(w.withdrawnAt, since).Add(notifyTimeout)
+			if w.notifyDeadline.IsZero() && notifyDeadline.Before(now) {
+				w.notifyDeadline = notifyDeadline
 			}
 		}
 	})
@@ -355,7 +355,7 @@
 	for _, s := range r.servers {
 		s.listener.Close()
 	}
-	for _, d := range r.discoveries {
+	for _, d := range r.discovery {
 		if d != nil {
 			d.server.Close()
 		}
--- a/internal/soak/sample.go
+++ b/internal/soak/sample.go
@@ -66,14 +66,14 @@
 	slowStarting := make(map[int]bool)
 	r.journal.update(func() {
 		for _, start := range r.journal.slowStarts {
-			slowStarting[start.server] = r.plan.SlowStart && now.Sub(start.startedAt) < slowStartDuration
+			slowStarting[start.server] = r.plan.SlowStart && now.Sub(start.at) < slowStartDuration
 		}
 	})
 	healthy := 0
-	for _, s := range r.endpoints.ready() {
+	for _, s := range r.endpointList.ready() {
 		switch s.currentMode() {
 		case Healthy, DuplicateResponse, CloseIdle:
-			if !slowStarting[s.number] {
+			if !slowStarting[s.index] {
 				healthy++
 			}
 		}
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -46,7 +46,7 @@
 
 // server is a stand-in of one server.
 type server struct {
-	number        int // its index, which determines its zone and cell
+	index         int // determines its zone and cell
 	zone          string
 	cell          int
 	journal       *journal
@@ -55,19 +55,19 @@
 	responseCount atomic.Int64 // number of responses, which makes each body unique
 }
 
-func newServer(number int, j *journal) (*server, error) {
+func newServer(index int, j *journal) (*server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{number: number, zone: []string{"a", "b"}[number%2], cell: number % 3, journal: j, listener: listener}
+	s := &server{index: index, zone: []string{"a", "b"}[index%2], cell: index % 3, journal: j, listener: listener}
 	go s.acceptConnections()
 	return s, nil
 }
 
 func (s *server) address() string { return s.listener.Addr().String() }
 
-func (s *server) instanceID() string { return "s-" + strconv.Itoa(s.number) }
+func (s *server) instanceID() string { return "s-" + strconv.Itoa(s.index) }
 
 func (s *server) setMode(m ServerMode) { s.mode.Store(int32(m)) }
 
@@ -113,7 +113,7 @@
 			return
 		}
 		a := &attempt{
-			server: s.number, id: request.Header.Get("X-Request-ID"), class: request.Header.Get("X-Priority-Class"),
+			server: s.index, id: request.Header.Get("X-Request-ID"), class: request.Header.Get("X-Priority-Class"),
 			startedAt: startedAt, readAt: time.Now(), timeout: parseTimeout(request.Header.Get("X-Timeout")), mayHaveRun: true,
 		}
 		s.journal.addAttempt(a)
@@ -136,7 +136,7 @@
 // respond answers an attempt as the current mode requires. It reports whether the connection stays open.
 func (s *server) respond(c net.Conn, a *attempt) bool {
 	time.Sleep(serviceTime)
-	body := fmt.Sprintf("%s by %d, answer %d", a.id, s.number, s.responseCount.Add(1))
+	body := fmt.Sprintf("%s by %d, answer %d", a.id, s.index, s.responseCount.Add(1))
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch s.currentMode() {
 	case Hang:
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,7 +19,7 @@
 	program     = flag.String("soak.program", "", "path of the sidecar's binary; empty: build it")
 )
 
-// maxVoidRuns is how many runs of a plan may be void before the test fails.
+// maxVoidRuns is the number of void runs of one plan after which the test fails.
 const maxVoidRuns = 3
 
 // buildProgram builds the sidecar with the build command of the deploy file, and returns the path of the
@@ -63,8 +63,8 @@
 }
 
 // A stall of the machine suspends the sidecar, under load or while it drains. Afterwards it must answer the
-// requests that it accepted, serve new ones, exit with status 0 and not spin: its CPU time is
-// bounded.
+// requests that it accepted, serve new ones and exit with status 0. Its CPU time is bounded, so that a busy
+// loop fails the test.
 func TestSidecarRecoversFromStall(t *testing.T) {
 	path := buildProgram(t)
 	stalls := []time.Duration{150 * time.Millisecond, 3 * time.Second}
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -12,9 +12,9 @@
 // stallMeter measures stalls of the machine: its goroutine does nothing but tick, so a late tick shows a
 // stall.
 type stallMeter struct {
-	quit    chan struct{} // closed to stop ticking
-	done    sync.WaitGroup
-	longest time.Duration // greatest delay of a tick; to be read once the goroutine has ended
+	quit chan struct{} // closed to stop ticking
+	done sync.WaitGroup
+	max  time.Duration // greatest delay of a tick; to be read once the goroutine has ended
 }
 
 func startStallMeter() *stallMeter {
@@ -31,7 +31,7 @@
 		case <-time.After(tickInterval):
 		}
 		now := time.Now()
-		m.longest = max(m.longest, now.Sub(last)-tickInterval)
+		m.max = max(m.max, now.Sub(last)-tickInterval)
 		last = now
 	}
 }
@@ -40,5 +40,5 @@
 func (m *stallMeter) stop() time.Duration {
 	close(m.quit)
 	m.done.Wait()
-	return m.longest
+	return m.max
 }
