--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -38,14 +38,14 @@
 	return cmd
 }
 
-// validConfig listens on a port chosen by the system. Its discovery is unreachable.
+// validConfig makes the sidecar listen on a port that the system chooses. Its discovery is unreachable.
 const validConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
 	"settings":{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
 	"classes":[{"name":"a","aim_ms":500,"hard_limit_ms":1000}]}}`
 
 // The sidecar exits with an error if its configuration is invalid, and logs a single line that names the
 // field.
-func TestUnusableConfigEndsInOneLine(t *testing.T) {
+func TestInvalidConfigIsLoggedInOneLine(t *testing.T) {
 	var log bytes.Buffer
 	cmd := sidecarCommand(t, strings.Replace(validConfig, "30000", "0", 1))
 	cmd.Stderr = &log
@@ -118,8 +118,9 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	_ = cmd.Process.Signal(syscall.SIGHUP) // must do no harm during the shutdown; fails if the program has exited
-	for lines.Scan() {                     // until the program exits
+	// A SIGHUP during the shutdown must not change the exit code. Signal fails if the program has exited.
+	_ = cmd.Process.Signal(syscall.SIGHUP)
+	for lines.Scan() { // until the program exits
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("sidecar exited with %v, want exit code 0", err)
--- a/cmd/sidecar/ready_test.go
+++ b/cmd/sidecar/ready_test.go
@@ -78,7 +78,7 @@
 }
 
 // getUntilOK sends requests, each on a new connection, until one is answered with 200. headers alternates
-// names and values. A request with headers is one for a server and also gets an X-Request-ID.
+// names and values. A request with headers is to be forwarded to a server, so it also gets an X-Request-ID.
 func getUntilOK(t *testing.T, url string, headers ...string) {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -136,11 +136,11 @@
 // faultyDiscoveries are the faults of discovery that a restarted sidecar may encounter: the function that
 // serves each connection, or nil if no process listens on the address.
 var faultyDiscoveries = map[string]func(net.Conn){
-	"down":       nil,
-	"silent":     func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
-	"overloaded": respondOverloaded,
-	"resets":     func(net.Conn) {},
-	"noise":      func(c net.Conn) { _, _ = io.WriteString(c, "noise\r\n\r\n") },
+	"down":               nil,
+	"no response":        func(c net.Conn) { _, _ = io.Copy(io.Discard, c) },
+	"overloaded":         respondOverloaded,
+	"resets":             func(net.Conn) {},
+	"malformed response": func(c net.Conn) { _, _ = io.WriteString(c, "noise\r\n\r\n") },
 }
 
 func respondOverloaded(c net.Conn) {
@@ -241,9 +241,9 @@
 func TestIdleClientsDoNotStarveOthers(t *testing.T) {
 	const maxDescriptors = 64
 	for name, firstBytes := range map[string]string{
-		"silent":      "",
-		"half a head": "GET /a HTTP/1.1\r\nHost: x\r\n",
-		"resting":     "GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
+		"nothing sent":          "",
+		"incomplete head":       "GET /a HTTP/1.1\r\nHost: x\r\n",
+		"idle after a response": "GET /up HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
 		for _, mode := range []string{"ask", "push"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// The adapter returns an error in one line that names the field if a value in the settings is invalid.
-func TestUnusableSettingsAreNamed(t *testing.T) {
+// An invalid value in the settings must result in an error of one line that names the field.
+func TestErrorNamesInvalidSetting(t *testing.T) {
 	for _, test := range []struct{ name, setting, field string }{
 		{"negative retry ratio", "rules.further_ratio=-1\nrules.budget_span_ms=1000\n", "Budget"},
 		{"retry ratio without interval", "rules.further_ratio=0.2\n", "Budget"},
@@ -79,8 +79,8 @@
 	}
 }
 
-// An instance that is restarted within one batch handles the events after the restart. Events that arrive
-// while it is stopped are ignored.
+// An instance that is stopped and restarted within one batch must handle the events after its restart. Events
+// that arrive while it is stopped must be ignored.
 func TestRestartInOneBatch(t *testing.T) {
 	all := serveActions(t, slices.Concat(
 		batch(1, 0, instanceStarted(1, 5, exampleSettings), endpointList(0, 7), endpointsUpdated(1, simprotocol.UpdateCached, 0), requestArrived(1, 100)),
@@ -124,8 +124,8 @@
 	}
 }
 
-// Instances broadcast gossip messages, and messages of other instances reach the Balancer. Malformed messages
-// are dropped before they reach it.
+// An instance must broadcast gossip messages, and those of other instances must reach its Balancer. The adapter
+// drops malformed messages before they reach the Balancer.
 func TestGossipBetweenInstances(t *testing.T) {
 	started := func(instance uint32) []byte {
 		return instanceStarted(instance, 5, fmt.Sprintf("%s\ncaps.peers=true\nme=%d", exampleSettings, instance))
@@ -167,7 +167,7 @@
 	}
 }
 
-// Unknown event codes, update kinds and instance numbers do not affect the instances that run.
+// Unknown event codes, update kinds and instance numbers must not affect running instances.
 func TestUnknownRecordsAreIgnored(t *testing.T) {
 	const unknownEvent, unknownKind, unknownInstance = 4711, 99, 44
 	all := serveActions(t, batch(1, 0,
@@ -225,7 +225,7 @@
 	}
 }
 
-// The counters are logged once per interval, and not at the first event.
+// The counters must be logged once per interval, and not at the first event.
 func TestCountersAreLogged(t *testing.T) {
 	all := serveActions(t, slices.Concat(
 		batch(1, 0, instanceStarted(1, 5, exampleSettings)),
--- a/cmd/simadapter/settings_test.go
+++ b/cmd/simadapter/settings_test.go
@@ -62,7 +62,7 @@
 // Guards against an instance that uses the settings of another instance in the same process, here of another
 // deployment. The settings determine how many attempts a failing request of each class gets, how it is
 // answered, how long an attempt may take, and which classes and tenants exist.
-func TestSettingsAreOfTheInstance(t *testing.T) {
+func TestInstancesUseTheirOwnSettings(t *testing.T) {
 	files := []string{"piste.json", "desk.json", "piste.json"}
 	for class := range 4 { // one at a time, because failures of one class affect the admission of the others
 		all := serveActions(t, failingRequests(t, files, uint8(class)))
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -17,13 +17,13 @@
 )
 
 // maxStartedAtMS is the maximum start time of an endpoint, in milliseconds: half of what a duration can hold,
-// far from overflow. The text of ErrOutOfRange names it.
+// far from overflow. A later start time is an ErrOutOfRange.
 const maxStartedAtMS = math.MaxInt64 / float64(time.Millisecond) / 2
 
 // List is an endpoint list or a set of changes to it, from one response of discovery. The zero value has no
 // endpoints.
 type List struct {
-	Version   int64 // version of the endpoint list after this one is applied
+	Version   int64 // version of the endpoint list after this response is applied
 	Complete  bool  // the list has all endpoints; false: only those that changed
 	Endpoints []policy.Endpoint
 	Addresses map[policy.EndpointID]string // host:port by endpoint; a removed endpoint may have none
@@ -42,7 +42,7 @@
 type entry struct {
 	InstanceID  string  `json:"instanceId"`  // required
 	HostPort    string  `json:"hostPort"`    // required, unless Lifecycle is "gone"
-	Zone        string  `json:"zone"`        // absent: policy.UnknownZone; not in the settings: see unconfiguredZone
+	Zone        string  `json:"zone"`        // absent: policy.UnknownZone; unconfigured: see unconfiguredZone
 	Cell        *int    `json:"cell"`        // nil: absent, policy.UnknownCell
 	Lifecycle   string  `json:"lifecycle"`   // required
 	Weight      float64 `json:"weight"`      // absent: 0, for which package policy uses a weight of 1
--- a/internal/endpointlist/errors.go
+++ b/internal/endpointlist/errors.go
@@ -10,7 +10,7 @@
 	// ErrMissing reports that a required field is absent.
 	ErrMissing = errors.New("required field is missing")
 	// ErrOutOfRange reports a start time above maxStartedAtMS.
-	ErrOutOfRange = errors.New("out of range: must be at most 4611686018427 ms")
+	ErrOutOfRange = errors.New("out of range")
 )
 
 // NoEntry is the Entry of an Error that concerns the response as a whole.
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,8 +1,8 @@
 // Package loadreport decodes load reports of servers to policy.LoadReport.
 //
 // The settings name the values of a report in order; see ParseFormat. The simulator's protocol sends the
-// values in that order without names (Report). Servers send name=value pairs in the X-Server-Load header
-// (DecodeText). Both forms carry the same values.
+// values in that order without names (Report). Servers send name=value pairs, which the sidecar reads from the
+// body of a response to a health check (DecodeText). Both forms carry the same values.
 package loadreport
 
 import (
@@ -14,7 +14,7 @@
 	"cranehatch/policy"
 )
 
-// MaxValues is the maximum number of values in a report. Columns of a format beyond it are ignored.
+// MaxValues is the maximum number of values in a report. Columns of a format beyond it are never decoded.
 const MaxValues = 4
 
 // textPrefix is the prefix of the text form of a report.
@@ -58,7 +58,7 @@
 	return format
 }
 
-// Fields returns the set of fields that reports of this format may have.
+// Fields returns the set of fields that the columns of the format name.
 func (f Format) Fields() policy.ReportFields {
 	var all policy.ReportFields
 	for _, c := range f.columns {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// maxCount is the maximum of a count; ErrInvalidCount names it. It is far above the length of any real
-	// list, and prevents a malformed value from causing a large allocation.
+	// maxCount is the maximum of a count. It is far above the length of any real list, and prevents a
+	// malformed value from causing a large allocation.
 	maxCount = 1 << 16
 	// expectedKeys is the typical number of keys, used as the initial capacity of the map.
 	expectedKeys = 128
@@ -52,7 +52,7 @@
 	return number
 }
 
-// Count returns the value of a whole number from 0 to 65,536, or 0 if it is absent.
+// Count returns the value of a whole number from 0 to maxCount, or 0 if it is absent.
 func (s *Settings) Count(key string) int {
 	number := s.Number(key)
 	if number < 0 || number > maxCount || number != float64(int(number)) {
--- a/internal/settings/sidecarconfig.go
+++ b/internal/settings/sidecarconfig.go
@@ -23,7 +23,7 @@
 	ZoneNames   []string
 
 	ReportFormat      loadreport.Format // of the servers' load reports
-	MaxInFlight       int               // limit on concurrent requests; 0: no limit
+	MaxInFlight       int               // limit on requests in flight; 0: no limit
 	ServerIdleTimeout time.Duration     // idle time after which servers close a connection
 	DialTimeout       time.Duration     // limit on opening a connection to a server
 	DrainGrace        time.Duration     // time within which sends to a draining server must stop; 0: unknown
--- a/internal/sidecar/acceptor.go
+++ b/internal/sidecar/acceptor.go
@@ -31,7 +31,7 @@
 
 	mu           sync.Mutex // also guards the state of each clientConn
 	openConns    int
-	idleConns    list.List     // of *clientConn with no request in flight, longest idle first
+	idleConns    list.List     // of *clientConn without a request in flight, longest idle first
 	closingConns list.List     // of *clientConn whose sending side is closed, longest closing first
 	allClosed    chan struct{} // closed once no connection is open; nil before drained is called
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// Accept waits for a client to connect, and then until the limit admits its connection.
+// Accept waits for a client to connect, and then until the limit allows one more open connection.
 func (a *acceptor) Accept() (net.Conn, error) {
 	raw, err := a.Listener.Accept()
 	if err != nil {
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -28,8 +28,8 @@
 //     in flight (pipelining): net/http stores the byte and does not read again until the handler has
 //     returned.
 //   - From that byte on the clientMonitor reads, until the handler stops it. It appends what it reads to
-//     buffered, which Read returns to net/http first. Read also puts there any bytes of the next request
-//     that arrived in the same read of the socket as the end of a request.
+//     buffered, which Read returns to net/http first. Read also puts bytes of the next request there if
+//     they were read from the socket together with the end of a request.
 //
 // The monitor may start reading only when backgroundByteRead is set and httpReading is not (see
 // monitorMayRead). net/http may read again only when the monitor has ended: Read waits for that.
@@ -39,7 +39,7 @@
 	idleElement  *list.Element // in acceptor.idleConns; nil: has a request in flight, or is closing or closed
 	idleSince    time.Time     // when it last became idle
 	closed       bool          // released by the acceptor
-	closeDelayed bool          // the client may still be writing and not have read its last response: see Close
+	closeDelayed bool          // delayClose was called: the client may still be sending, its last response unread
 
 	closingElement *list.Element // in acceptor.closingConns; nil: not half-closed by Close, or already closed
 
@@ -204,8 +204,8 @@
 	return events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// delayClose makes Close delay closing the connection of a request as if it had unread bytes; ctx is the
-// request's context.
+// delayClose makes Close keep the socket of a request's connection open for closeDelay, as if it held unread
+// bytes. ctx is the request's context.
 func delayClose(ctx context.Context) {
 	if c := clientConnFromContext(ctx); c != nil {
 		c.acceptor.mu.Lock()
--- a/internal/sidecar/clientmonitor.go
+++ b/internal/sidecar/clientmonitor.go
@@ -11,8 +11,8 @@
 
 const (
 	// maxBufferedBytes limits the bytes buffered for a client. A client that sends more after its request in
-	// flight is disconnected: they would take up memory, and if they were left unread its disconnect could
-	// not be noticed.
+	// flight is disconnected: buffering more bytes would take up memory, and while bytes were left unread the
+	// client's disconnect could not be detected.
 	maxBufferedBytes = maxHeaderBytes + monitorReadBytes
 
 	// monitorReadBytes is the size of the monitor's read buffer.
@@ -23,7 +23,7 @@
 // sent to servers for that request.
 //
 // net/http detects this too (it cancels the request's context), but only until the client sends more bytes
-// after the request. net/http then stops reading at the first of them, and a later disconnect goes unnoticed:
+// after the request. net/http then stops reading at the first of them, and a later disconnect goes undetected:
 // the request would keep its queue slot and be sent to a server although no client is waiting for the
 // response. From that byte on the monitor reads; clientConn describes how the two share the socket.
 //
@@ -142,7 +142,7 @@
 
 // clientClosed reports whether the client has closed its connection or its sending side, or the monitor has
 // closed disconnected. It polls the socket, so it also sees a close that follows unread bytes, and one that
-// no goroutine has had CPU time to notice yet.
+// no goroutine has had CPU time to detect yet.
 func (m *clientMonitor) clientClosed() bool {
 	select {
 	case <-m.disconnected:
@@ -151,5 +151,5 @@
 	}
 	closed := false
 	err := m.conn.pollSocket(unix.POLLRDHUP, func(events int16) { closed = remoteClosed(events) })
-	return closed || err != nil && !errors.Is(err, errNotSocket) // an error means that it is closed on this side
+	return closed || err != nil && !errors.Is(err, errNotSocket) // the connection is closed on this side
 }
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -72,18 +72,18 @@
 // disconnects are the ways in which a client may disconnect. Each function returns once the disconnect has
 // been sent.
 var disconnects = map[string]func(t *testing.T, c *net.TCPConn){
-	"close":                       func(_ *testing.T, c *net.TCPConn) { c.Close() },
-	"reset":                       reset,
-	"close behind a request":      afterPipelinedRequest(func(_ *testing.T, c *net.TCPConn) { c.Close() }),
-	"half close behind a request": afterPipelinedRequest(halfClose),
-	"reset behind a request":      afterPipelinedRequest(reset),
-	"more than may be buffered": func(t *testing.T, c *net.TCPConn) {
+	"close":                                func(_ *testing.T, c *net.TCPConn) { c.Close() },
+	"reset":                                reset,
+	"close after a pipelined request":      afterPipelinedRequest(func(_ *testing.T, c *net.TCPConn) { c.Close() }),
+	"half close after a pipelined request": afterPipelinedRequest(halfClose),
+	"reset after a pipelined request":      afterPipelinedRequest(reset),
+	"more bytes than may be buffered": func(t *testing.T, c *net.TCPConn) {
 		write(t, c, strings.Repeat("x", maxBufferedBytes+1+monitorReadBytes))
 	},
 }
 
-// afterPipelinedRequest makes a client send another request before it disconnects. net/http alone would not notice
-// the disconnect.
+// afterPipelinedRequest makes a client send another request before it disconnects. net/http alone would not
+// detect the disconnect.
 func afterPipelinedRequest(disconnect func(*testing.T, *net.TCPConn)) func(*testing.T, *net.TCPConn) {
 	return func(t *testing.T, c *net.TCPConn) {
 		write(t, c, rawRequest("behind"))
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Request headers that the application sends, in net/http's canonical spelling. Only parseRequest maps them to
-// policy.Request; the rest of the sidecar and package policy use the terms of policy.Request.
+// Request headers that the application sends, in net/http's canonical spelling. Only parseRequest maps them
+// to policy.Request; the rest of the sidecar and package policy use the terms of policy.Request.
 const (
 	headerRequestID      = "X-Request-Id"     // identifies the request to servers; unique among those in flight
 	headerPriorityClass  = "X-Priority-Class" // name of policy.Request.Class
@@ -18,14 +18,15 @@
 	headerCost           = "X-Cost"           // policy.Request.ExpectedWork, in microseconds
 	headerRetried        = "X-Retried"        // policy.Request.ClientRetry, if "1"
 	headerAttributes     = "X-Attrs"          // for servers only: forwarded, not interpreted
-	headerIdempotencyKey = "Idempotency-Key"  // required for policy.IdempotentByKey, rejected for policy.NonIdempotent
+	headerIdempotencyKey = "Idempotency-Key"  // policy.IdempotentByKey: required; policy.NonIdempotent: rejected
 )
 
 // Response headers of servers that the sidecar handles itself.
 const (
 	// headerNotProcessed is "1" on a 503 or 504 if the request has not run.
 	headerNotProcessed = "X-Not-Processed"
-	// headerServerLoad is the server's load report. It is not read, and not forwarded to the application.
+	// headerServerLoad is the server's load report. In responses to requests it is neither read nor forwarded
+	// to the application.
 	headerServerLoad = "X-Server-Load"
 )
 
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -26,7 +26,8 @@
 
 	readinessPath = "/up"
 
-	// minRetryAfterSeconds is the shortest Retry-After of a request that was rejected over a limit.
+	// minRetryAfterSeconds is the shortest Retry-After of a request that is rejected because a limit is
+	// exceeded or its deadline has passed, unless the configured maximum is shorter.
 	minRetryAfterSeconds = 0.5
 	// retryAfterJitterSeconds is the range of the random time that is added to minRetryAfterSeconds, so that
 	// clients rejected at the same moment don't all retry at the same moment.
@@ -43,7 +44,7 @@
 	inFlight          atomic.Int64 // requests that were read in full and have no response yet
 	inFlightBodyBytes atomic.Int64 // total size of the bodies of these requests
 	ready             atomic.Bool  // whether readiness checks are answered with 200
-	drainDeadline     atomic.Int64 // while draining: responses must be written by then, in the clock's time; else 0
+	drainDeadline     atomic.Int64 // time of the clock by which responses must be written; 0: not draining
 
 	rejectedBodyTimeout time.Duration // how long to read the rest of a rejected request
 
@@ -70,8 +71,8 @@
 // ServeHTTP handles a request of the application or a readiness check.
 func (in *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// The client's timeout starts when the client sends the request. The arrival time is therefore taken before
-	// the body is read. For a pipelined request it is the time at which its bytes were read from the socket, before
-	// it waited for the response to the previous request.
+	// the body is read. For a pipelined request it is the time at which its bytes were read from the socket,
+	// before the request waited for the response to the previous one.
 	arrived := in.clock.now()
 	if c := clientConnFromContext(r.Context()); c != nil {
 		c.expectBody(r.ContentLength)
@@ -134,11 +135,11 @@
 }
 
 // forward submits a request to the event loop and writes the response. If the client disconnects before there
-// is a response, it closes the connection without one.
+// is a response, forward makes net/http close the connection without one.
 func (in *ingress) forward(w http.ResponseWriter, r *http.Request, parsed parsedRequest, body []byte, deadline time.Duration) {
 	final := in.awaitResponse(r, parsed, body, deadline)
 	if final == nil {
-		panic(http.ErrAbortHandler) // makes net/http close the connection without a response
+		panic(http.ErrAbortHandler) // net/http then closes the connection without a response
 	}
 	in.closeIfDraining(w, r)
 	final.write(w)
@@ -155,8 +156,8 @@
 	select {
 	case final := <-reply:
 		return &final
-	case <-r.Context().Done(): // net/http has noticed that the client disconnected
-	case <-client.disconnected: // the monitor has noticed it, after bytes that net/http does not read
+	case <-r.Context().Done(): // net/http has detected that the client disconnected
+	case <-client.disconnected: // the monitor has detected it, after bytes that net/http does not read
 	}
 	in.loop.clientDisconnected(number)
 	return nil
@@ -225,7 +226,8 @@
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout)) // fails only on a closed connection
+	// SetReadDeadline fails only on a closed connection, and then the read fails too.
+	_ = control.SetReadDeadline(time.Now().Add(readBodyTimeout))
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, reject(http.StatusRequestTimeout, "the body is shorter than Content-Length")
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxTimeout is the longest duration that parseTimeout returns; longer ones are reduced to it.
+	// maxTimeout is the longest duration that parseTimeout returns. Longer ones are clamped to it.
 	maxTimeout = time.Hour
 	// maxDeadlineMultiple limits a client's timeout, as a multiple of the deadline of the request's class.
 	maxDeadlineMultiple = 10
--- a/internal/sidecar/parse_test.go
+++ b/internal/sidecar/parse_test.go
@@ -27,25 +27,25 @@
 		headers []string // pairs of name and value; an empty value removes the header
 		status  int
 	}{
-		"no id":                      {"GET", "/look", "", []string{"X-Request-ID", ""}, 400},
-		"no class":                   {"GET", "/look", "", []string{"X-Priority-Class", ""}, 400},
-		"unknown class":              {"GET", "/nothing", "", nil, 400},
-		"class other than the path":  {"GET", "/look", "", []string{"X-Priority-Class", "entry"}, 400},
-		"no tenant":                  {"GET", "/look", "", []string{"X-Tenant-Id", ""}, 400},
-		"unknown tenant":             {"GET", "/look", "", []string{"X-Tenant-Id", "east"}, 400},
-		"no timeout":                 {"GET", "/look", "", []string{"X-Timeout", ""}, 400},
-		"timeout without unit":       {"GET", "/look", "", []string{"X-Timeout", "480"}, 400},
-		"timeout not a number":       {"GET", "/look", "", []string{"X-Timeout", "NaNm"}, 400},
-		"timeout below 0":            {"GET", "/look", "", []string{"X-Timeout", "-5m"}, 400},
-		"timeout of 0":               {"GET", "/look", "", []string{"X-Timeout", "0m"}, 400},
-		"timeout beyond the class's": {"GET", "/look", "", []string{"X-Timeout", "900000000m"}, 400},
-		"malformed cost":             {"GET", "/look", "", []string{"X-Cost", "cheap"}, 400},
-		"idempotency key missing":    {"POST", "/reading", "1", nil, 400},
-		"idempotency key of no use":  {"POST", "/entry", "1", []string{"Idempotency-Key", "k"}, 400},
-		"POST in a GET class":        {"POST", "/look", "", nil, 405},
-		"HEAD":                       {"HEAD", "/look", "", nil, 405},
-		"body on GET":                {"GET", "/look", "1", nil, 400},
-		"body too long":              {"POST", "/entry", strings.Repeat("x", maxBodyBytes+1), nil, 413},
+		"no request ID":                        {"GET", "/look", "", []string{"X-Request-ID", ""}, 400},
+		"no class":                             {"GET", "/look", "", []string{"X-Priority-Class", ""}, 400},
+		"unknown class":                        {"GET", "/nothing", "", nil, 400},
+		"class other than the path":            {"GET", "/look", "", []string{"X-Priority-Class", "entry"}, 400},
+		"no tenant":                            {"GET", "/look", "", []string{"X-Tenant-Id", ""}, 400},
+		"unknown tenant":                       {"GET", "/look", "", []string{"X-Tenant-Id", "east"}, 400},
+		"no timeout":                           {"GET", "/look", "", []string{"X-Timeout", ""}, 400},
+		"timeout without unit":                 {"GET", "/look", "", []string{"X-Timeout", "480"}, 400},
+		"timeout not a number":                 {"GET", "/look", "", []string{"X-Timeout", "NaNm"}, 400},
+		"timeout below 0":                      {"GET", "/look", "", []string{"X-Timeout", "-5m"}, 400},
+		"timeout of 0":                         {"GET", "/look", "", []string{"X-Timeout", "0m"}, 400},
+		"timeout above the limit of the class": {"GET", "/look", "", []string{"X-Timeout", "900000000m"}, 400},
+		"malformed cost":                       {"GET", "/look", "", []string{"X-Cost", "cheap"}, 400},
+		"idempotency key missing":              {"POST", "/reading", "1", nil, 400},
+		"idempotency key of a non-idempotent request": {"POST", "/entry", "1", []string{"Idempotency-Key", "k"}, 400},
+		"POST in a GET class":                         {"POST", "/look", "", nil, 405},
+		"HEAD":                                        {"HEAD", "/look", "", nil, 405},
+		"body on GET":                                 {"GET", "/look", "1", nil, 400},
+		"body too long":                               {"POST", "/entry", strings.Repeat("x", maxBodyBytes+1), nil, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
 			res, _ := doRequest(t, side.newRequest(t, c.method, c.path, c.body, c.headers...))
@@ -225,18 +225,18 @@
 		status int
 		bytes  string
 	}{
-		"hidden behind both lengths":   {411, head + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(hidden)+5, hidden)},
-		"hidden behind chunks":         {411, head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden},
-		"hidden behind chunks, 1.0":    {505, strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1" + hidden},
-		"no length":                    {411, head + "\r\n" + hidden},
-		"two lengths":                  {400, head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n1" + hidden},
-		"negative length":              {400, head + "Content-Length: -1\r\n\r\n" + hidden},
-		"huge length":                  {413, head + "Content-Length: 60000000\r\n\r\n" + hidden},
-		"two ids":                      {400, head + "X-Request-ID: r2\r\nContent-Length: 1\r\n\r\n1" + hidden},
-		"absolute URL as target":       {400, strings.Replace(head, "/entry", "http://a/entry", 1) + "Content-Length: 1\r\n\r\n1" + hidden},
-		"body shorter than its length": {408, head + "Content-Length: 100\r\n\r\n1"},
-		"not HTTP":                     {400, "\x00\x01\x02 nonsense\r\n\r\n" + hidden},
-		"headers above the limit":      {431, head + strings.Repeat("X-A: "+strings.Repeat("x", 1000)+"\r\n", 40)},
+		"request hidden after Content-Length and chunked body": {411, head + fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(hidden)+5, hidden)},
+		"request hidden after chunked body":                    {411, head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden},
+		"request hidden after chunked body of version 1.0":     {505, strings.Replace(head, "1.1", "1.0", 1) + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1" + hidden},
+		"no Content-Length":                                    {411, head + "\r\n" + hidden},
+		"two Content-Lengths":                                  {400, head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n1" + hidden},
+		"negative Content-Length":                              {400, head + "Content-Length: -1\r\n\r\n" + hidden},
+		"Content-Length above the limit":                       {413, head + "Content-Length: 60000000\r\n\r\n" + hidden},
+		"two request IDs":                                      {400, head + "X-Request-ID: r2\r\nContent-Length: 1\r\n\r\n1" + hidden},
+		"absolute URL as target":                               {400, strings.Replace(head, "/entry", "http://a/entry", 1) + "Content-Length: 1\r\n\r\n1" + hidden},
+		"body shorter than Content-Length":                     {408, head + "Content-Length: 100\r\n\r\n1"},
+		"not HTTP":                                             {400, "\x00\x01\x02 nonsense\r\n\r\n" + hidden},
+		"headers above the limit":                              {431, head + strings.Repeat("X-A: "+strings.Repeat("x", 1000)+"\r\n", 40)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -245,7 +245,7 @@
 			}
 		})
 	}
-	for name, bytes := range map[string]string{"half a head": head, "nothing": ""} {
+	for name, bytes := range map[string]string{"incomplete head": head, "nothing sent": ""} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			side.sendRaw(t, bytes)
--- a/internal/sidecar/pipelining_test.go
+++ b/internal/sidecar/pipelining_test.go
@@ -35,14 +35,14 @@
 }
 
 // Clients have sent several requests at once, or more while a request is in flight, when the sidecar starts
-// to drain. It used to close the connection with the first response and lost the requests it had read after
-// it. All must be answered, and the connection closed with or after the last response.
+// to drain. It used to close the connection with the first response, which lost the requests that it had read
+// after the first one. All must be answered, and the connection closed with or after the last response.
 func TestPipelinedRequestsAreAnsweredWhileDraining(t *testing.T) {
 	for name, sent := range map[string][]string{
-		"at once":            {rawRequest("first") + rawRequest("second") + rawRequest("third")},
-		"behind an open one": {rawRequest("first"), rawRequest("second") + rawRequest("third")},
-		"one by one":         {rawRequest("first"), rawRequest("second"), rawRequest("third")},
-		"half a request":     {rawRequest("first") + rawRequest("second")[:30], rawRequest("second")[30:] + rawRequest("third")},
+		"all in one write":                    {rawRequest("first") + rawRequest("second") + rawRequest("third")},
+		"two while one is in flight":          {rawRequest("first"), rawRequest("second") + rawRequest("third")},
+		"each in its own write":               {rawRequest("first"), rawRequest("second"), rawRequest("third")},
+		"second request split between writes": {rawRequest("first") + rawRequest("second")[:30], rawRequest("second")[30:] + rawRequest("third")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -86,7 +86,7 @@
 	withTimeout := func(id, timeout string) string {
 		return strings.Replace(rawRequest(id), "20000m", timeout, 1)
 	}
-	for name, separately := range map[string]bool{"sent at once": false, "sent later": true} {
+	for name, separately := range map[string]bool{"in one write": false, "while the first is in flight": true} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
 			s := newStub(t, echoAfter(release, "first"))
--- a/internal/sidecar/rejection_test.go
+++ b/internal/sidecar/rejection_test.go
@@ -57,12 +57,12 @@
 		second string
 		status int
 	}{
-		"body too long":     {requestHead("POST", "entry", length), half, half, http.StatusRequestEntityTooLarge},
-		"body on GET":       {requestHead("GET", "look", length), half, half, http.StatusBadRequest},
-		"chunks":            {requestHead("POST", "entry", "Transfer-Encoding: chunked"), chunk, chunk + "0\r\n\r\n", http.StatusLengthRequired},
-		"chunks and length": {requestHead("POST", "entry", length, "Transfer-Encoding: chunked"), chunk, chunk + "0\r\n\r\n", http.StatusLengthRequired},
-		"no key":            {requestHead("POST", "reading", "Content-Length: 2"), "1", "2", http.StatusBadRequest},
-		"nothing sent yet":  {requestHead("POST", "reading", "Content-Length: 2"), "", "12", http.StatusBadRequest},
+		"body too long":                   {requestHead("POST", "entry", length), half, half, http.StatusRequestEntityTooLarge},
+		"body on GET":                     {requestHead("GET", "look", length), half, half, http.StatusBadRequest},
+		"chunked body":                    {requestHead("POST", "entry", "Transfer-Encoding: chunked"), chunk, chunk + "0\r\n\r\n", http.StatusLengthRequired},
+		"chunked body and Content-Length": {requestHead("POST", "entry", length, "Transfer-Encoding: chunked"), chunk, chunk + "0\r\n\r\n", http.StatusLengthRequired},
+		"no idempotency key":              {requestHead("POST", "reading", "Content-Length: 2"), "1", "2", http.StatusBadRequest},
+		"body not sent yet":               {requestHead("POST", "reading", "Content-Length: 2"), "", "12", http.StatusBadRequest},
 	} {
 		for _, connection := range []string{"keep-alive", "close"} {
 			t.Run(name+"/"+connection, func(t *testing.T) {
@@ -79,19 +79,19 @@
 	}
 }
 
-// The client sends more than the sidecar reads, or something that has no readable end. Closing the socket
-// with these bytes unread would reset the connection. The client must be able to read the response and the
-// end of the connection first.
+// The client sends more than the sidecar reads, or bytes in which the sidecar cannot find the end of a request.
+// Closing the socket with these bytes unread would reset the connection. The client must be able to read the
+// response and the end of the connection first.
 func TestResponseIsReadableDespiteUnreadBytes(t *testing.T) {
 	const size = 4 * maxDiscardedBodyBytes
 	for name, c := range map[string]struct {
 		sent   string
 		status int
 	}{
-		"long body":         {requestHead("POST", "entry", fmt.Sprintf("Content-Length: %d", size)), http.StatusRequestEntityTooLarge},
-		"long body, close":  {requestHead("POST", "entry", "Connection: close", fmt.Sprintf("Content-Length: %d", size)), http.StatusRequestEntityTooLarge},
-		"no request at all": {"noise\r\n\r\n", http.StatusBadRequest},
-		"two answers": {requestHead("POST", "reading", "Content-Length: 0") + requestHead("GET", "look"),
+		"long body":                   {requestHead("POST", "entry", fmt.Sprintf("Content-Length: %d", size)), http.StatusRequestEntityTooLarge},
+		"long body, Connection close": {requestHead("POST", "entry", "Connection: close", fmt.Sprintf("Content-Length: %d", size)), http.StatusRequestEntityTooLarge},
+		"not HTTP":                    {"noise\r\n\r\n", http.StatusBadRequest},
+		"another request after a rejected one": {requestHead("POST", "reading", "Content-Length: 0") + requestHead("GET", "look"),
 			http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/requestboundary_test.go
+++ b/internal/sidecar/requestboundary_test.go
@@ -13,15 +13,15 @@
 		body int64 // length after the first head
 		want []string
 	}{
-		"one request":           {head, 0, []string{head}},
-		"two requests":          {head + head, 0, []string{head, head}},
-		"line feeds alone":      {bare + head + bare, 0, []string{bare, head, bare}},
-		"a body":                {head + "12345", 5, []string{head, "12345"}},
-		"a body and a request":  {head + "1\n\n45" + head, 5, []string{head, "1\n\n45", head}},
-		"half a body":           {head + "12", 5, []string{head, "12"}},
-		"half a request":        {head + head[:20], 0, []string{head, head[:20]}},
-		"no request":            {"noise\r\nnoise", 0, []string{"noise\r\nnoise"}},
-		"empty lines before it": {"\r\n\r\n" + head, 0, []string{"\r\n\r\n", head}},
+		"one request":                         {head, 0, []string{head}},
+		"two requests":                        {head + head, 0, []string{head, head}},
+		"line feeds without carriage returns": {bare + head + bare, 0, []string{bare, head, bare}},
+		"request with a body":                 {head + "12345", 5, []string{head, "12345"}},
+		"request with a body, then another":   {head + "1\n\n45" + head, 5, []string{head, "1\n\n45", head}},
+		"incomplete body":                     {head + "12", 5, []string{head, "12"}},
+		"incomplete second head":              {head + head[:20], 0, []string{head, head[:20]}},
+		"no head":                             {"noise\r\nnoise", 0, []string{"noise\r\nnoise"}},
+		"empty lines before the head":         {"\r\n\r\n" + head, 0, []string{"\r\n\r\n", head}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for chunk := 1; chunk <= len(c.text); chunk++ {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// minDrainTime is how long new connections are accepted after SIGTERM, even if none is open at that time.
+	// minDrainTime is the minimum time for which new connections are accepted after SIGTERM, even if no
+	// connection is open.
 	minDrainTime = 500 * time.Millisecond
 
 	// The platform may send SIGKILL this long after SIGTERM: the longest deadline of the classes, but at most
@@ -22,8 +23,8 @@
 	// killMargin is how long before a possible SIGKILL all responses must be written.
 	killMargin = 100 * time.Millisecond
 
-	// maxIdleDrainTime is how long after the earliest possible SIGKILL the remaining idle connections are
-	// closed, if no SIGKILL was sent. No client is expected to use them any more by then.
+	// maxIdleDrainTime is the time between the earliest possible SIGKILL and the close of the remaining idle
+	// connections, in case no SIGKILL is sent. No client is expected to use them by then.
 	maxIdleDrainTime = 10 * time.Second
 )
 
--- a/internal/simprotocol/codes.go
+++ b/internal/simprotocol/codes.go
@@ -16,7 +16,7 @@
 	EventInstanceStopped    EventCode = 1020 // CrashNow: an instance stopped without notice
 	EventStreamStarted      EventCode = 1030 // Headers: the response to a request has started
 	EventGossipReceived     EventCode = 1040 // Heard: gossip message from another instance
-	EventEndpointsUpdated   EventCode = 1050 // Fleet: endpoint update, by list number, for one instance
+	EventEndpointsUpdated   EventCode = 1050 // Fleet: endpoint update for one instance, by list number
 	EventAttemptEnded       EventCode = 1060 // Finished: outcome of an attempt
 	EventTimerFired         EventCode = 1070 // Wake: a timer set by SetAlarm expired
 	EventRequestArrived     EventCode = 1080 // Ask: request from a client
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -17,7 +17,7 @@
 	ErrTrailingBytes = errors.New("unexpected bytes after the last record")
 )
 
-// Part names the part of a batch or record in which an error occurred.
+// Part identifies the part of a batch or record in which an error occurred.
 type Part string
 
 // Parts of batches and records.
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -40,12 +40,12 @@
 	Report   loadreport.Report
 }
 
-// EndpointsUpdated holds the fields of an EventEndpointsUpdated: which endpoint list applies to an instance.
+// EndpointsUpdated holds the fields of an EventEndpointsUpdated, an endpoint update for one instance.
 type EndpointsUpdated struct {
-	KindKnown  bool // Kind is valid; false: an unknown kind of a later protocol version, ignore the update
+	KindKnown  bool // Kind is valid; false: a kind of a later protocol version, whose update is ignored
 	Kind       policy.UpdateKind
 	Version    uint32 // version of the endpoint list in discovery
-	ListNumber uint16 // number of the list in an earlier EventEndpointList; unused if Kind is policy.UpdateFailed
+	ListNumber uint16 // number from an earlier EventEndpointList; unused if Kind is policy.UpdateFailed
 }
 
 // Instance decodes the instance number of a record. Every event but EventEndpointList has one.
