--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -51,7 +51,7 @@
 }
 
 // unforwardedHeaders lists the headers that are never forwarded: the hop-by-hop headers, those that the
-// sidecar writes itself, and the load report, which is meant for the sidecar.
+// sidecar writes itself, and the servers' load report, which is not meant for the application.
 var unforwardedHeaders = []string{
 	headerConnection, "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	headerContentLength, headerServerLoad,
