--- a/internal/sidecar/backoff.go
+++ b/internal/sidecar/backoff.go
@@ -8,7 +8,7 @@
 
 // backoff provides the pauses after failed calls. The pause doubles with each failure, up to a maximum. A
 // random factor between 0.5 and 1.5 (jitter) is applied to each pause: all sidecars lose discovery at the
-// same time, and must not call it again in step.
+// same time, and must not call it again in lockstep.
 type backoff struct {
 	initial time.Duration // first pause, before jitter
 	max     time.Duration // longest pause, before jitter
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -167,9 +167,9 @@
 // maxServerConns returns the limit on open connections to servers.
 func (c *Config) maxServerConns() int { return c.MaxDescriptors * 3 / 8 }
 
-// maxBodyBytes returns the limit on the request bodies held in memory at once, which is an eighth of
-// MemoryMB.
-func (c *Config) maxBodyBytes() int64 {
+// maxTotalBodyBytes returns the limit on the total size of the request bodies in memory: an eighth of MemoryMB,
+// or no limit if MemoryMB is 0.
+func (c *Config) maxTotalBodyBytes() int64 {
 	if c.MemoryMB == 0 {
 		return math.MaxInt64
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -12,12 +12,13 @@
 )
 
 // The limits below follow from the time at which a sidecar counts as notified of a change, whether or not it
-// has read the change. From that time on, or at the latest DrainGrace after it, the sidecar must not send
-// anything new to a draining server. A sidecar counts as notified
+// has read the change. At that time, or at the latest DrainGrace after it, the sidecar must have stopped
+// sending new requests to a draining server. A sidecar counts as notified
 //
-//   - of a change that a watch missed because discovery never answered it: 2 s after the end of the watch's wait;
-//   - of a change during an outage of discovery: as soon as discovery is reachable again if the list is pushed, and
-//     6 s after that if the list is polled.
+//   - of a change that a watch missed because discovery never answered it: 2 s after the end of the watch's
+//     wait;
+//   - of a change during an outage of discovery: as soon as discovery is reachable again if the list is pushed,
+//     and 6 s after that if the list is polled.
 const (
 	// maxWatchTime is the longest wait of a watch. The shortest is half of it, see randomWatchTime.
 	maxWatchTime = 20 * time.Second
--- a/internal/sidecar/discovery_call.go
+++ b/internal/sidecar/discovery_call.go
@@ -35,7 +35,7 @@
 		c.Close()
 	}
 	if err != nil && ctx.Err() != nil {
-		err = ctx.Err() // the error follows from closing the connection
+		err = ctx.Err() // the call failed because ctx ended and closed its connection
 	}
 	return update, err
 }
@@ -81,7 +81,7 @@
 	return res, err
 }
 
-// connect returns the idle connection if it is open and leads to address, and a new connection otherwise.
+// connect returns the idle connection if it is alive and connected to address, and a new connection otherwise.
 func (d *discoveryClient) connect(ctx context.Context, address string) (net.Conn, error) {
 	d.mu.Lock()
 	c, connectedTo := d.idleConn, d.idleConnAddress
--- a/internal/sidecar/discovery_follow.go
+++ b/internal/sidecar/discovery_follow.go
@@ -40,8 +40,8 @@
 // follow requests the current list and then makes one watch after another, until a call fails. It reports
 // whether any call succeeded. ctx is cancelled when the address changes.
 //
-// A watch timeout is not a failure, after which the Balancer would wait before the next poll: the sidecar may
-// soon count as notified of changes that the watch missed, so follow requests them immediately.
+// A watch timeout is not reported as a failure, as the Balancer would then wait before the next poll. The
+// sidecar may soon count as notified of changes that the watch missed, so follow requests them immediately.
 func (d *discoveryClient) follow(ctx context.Context, address string) (received bool, err error) {
 	for watchTimedOut := false; ; {
 		update, err := d.nextUpdate(ctx, address, received && !watchTimedOut)
--- a/internal/sidecar/discovery_hedge.go
+++ b/internal/sidecar/discovery_hedge.go
@@ -8,16 +8,17 @@
 	"cranehatch/internal/endpointlist"
 )
 
-// fetch makes a call that discovery answers immediately, and returns the first valid response. Every
-// hedgeInterval without a response it makes the same call again on another connection, concurrently with
-// those in flight (a hedged call). It fails once all calls in flight have failed, or after one invalid
+// fetch makes a call that discovery answers immediately, and returns the first valid response. After every
+// hedgeInterval without one it makes the same call again on another connection, concurrently with those in
+// flight (a hedged call). It fails once all calls in flight have failed, or after one invalid
 // response.
 //
 // Hedging guards against calls that start before discovery is reachable: such a call may never be answered,
 // and a sidecar that waits for it would read a drain too late. A shorter timeout is no alternative, as it
 // would lose slow responses. With a polled list and a new call every 2 s, discovery has 4 s to answer of the
-// 6 s until the sidecar counts as notified. With a pushed list the sidecar counts as notified immediately,
-// and has a discovery of its own, so newDiscoveryClient sets a shorter interval.
+// 6 s until the sidecar counts as notified. With a pushed list the sidecar counts as notified as soon as
+// discovery is reachable, and each sidecar has its own discovery, so newDiscoveryClient sets a shorter
+// interval.
 func (d *discoveryClient) fetch(ctx context.Context, address string, query listQuery) (endpointlist.List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/sidecar/discovery_reload.go
+++ b/internal/sidecar/discovery_reload.go
@@ -6,8 +6,8 @@
 )
 
 // reload reads the configuration file again and follows discovery at the address in it. All other fields of
-// the file are ignored until the next start. If the file is invalid, the previous address is kept. serve
-// calls reload on SIGHUP.
+// the file are ignored until the next start. If the file is invalid, the previous address is kept. supervise
+// calls reload for each reload signal (SIGHUP).
 func (d *discoveryClient) reload(path string) {
 	cfg, err := ReadConfig(path)
 	if err != nil {
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -39,7 +39,7 @@
 	}
 	for id, e := range previous {
 		if l.endpoints[id] != e {
-			l.transport.abandonUnwritten(e)
+			l.transport.abandonUnwrittenTo(e)
 			l.transport.remove(e)
 		}
 	}
@@ -49,9 +49,9 @@
 // applyEndpoint applies one entry of an update; previous is the endpoint with the same ID before the update,
 // or nil.
 //
-// While the connection for an attempt to a draining server is still being opened, the request could be
-// written long after the update, when nothing new may be sent to that server. abandonUnwritten ends such an
-// attempt as NotSent, so that the Balancer can choose another server.
+// An attempt at a draining server whose connection is still being dialed could otherwise be written long after
+// the update, when nothing new may be sent to that server. abandonUnwrittenTo ends such an attempt as NotSent,
+// so that the Balancer can choose another server.
 func (l *eventLoop) applyEndpoint(entry policy.Endpoint, address string, previous *endpoint) {
 	switch {
 	case entry.State == policy.Removed:
@@ -59,7 +59,7 @@
 	case previous != nil && previous.address == address:
 		l.endpoints[entry.ID] = previous
 		if entry.State != policy.Ready {
-			l.transport.abandonUnwritten(previous)
+			l.transport.abandonUnwrittenTo(previous)
 		}
 	default:
 		l.endpoints[entry.ID] = &endpoint{address: address}
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -94,7 +94,7 @@
 		Addresses: map[policy.EndpointID]string{7: s.address},
 	}, policy.DeltaUpdate)
 	attempt(t, l.transport, l.endpoints[7], "2", testTimeout)
-	if first, second := wait(t, "1", s.receivedRequests), wait(t, "2", s.receivedRequests); first.connNumber == second.connNumber {
+	if first, second := wait(t, "request 1", s.receivedRequests), wait(t, "request 2", s.receivedRequests); first.connNumber == second.connNumber {
 		t.Error("the request to the new server was sent on a connection of the removed one")
 	}
 }
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -17,7 +17,8 @@
 )
 
 // eventLoop owns the Balancer, which is single-threaded, and all state of requests and endpoints. A single
-// goroutine runs every event in order of arrival: serve starts it with run and ends it through its context.
+// goroutine, which serve starts, executes run: it runs every event in order of arrival until its context is
+// cancelled.
 // All other code of this package reaches that state only by posting an event.
 //
 // This guarantees without locks that no request gets a second response, and that each attempt has exactly one
@@ -41,7 +42,7 @@
 	now           time.Duration // time of the event being run
 	requests      map[policy.RequestID]*request
 	endpoints     map[policy.EndpointID]*endpoint // the listed endpoints, without removed ones
-	deniedSends   []policy.Outcome                // outcomes that reportDeniedSends has yet to report
+	deniedSends   []policy.Outcome                // outcomes of denied sends that are not reported yet
 	pendingTimers []time.Duration                 // times at which to call TimerFired, ascending, without duplicates
 	timer         *time.Timer                     // expires at the first of pendingTimers
 }
@@ -55,7 +56,7 @@
 		events:         make(chan func(time.Duration), eventQueueLength),
 		requests:       make(map[policy.RequestID]*request),
 		endpoints:      make(map[policy.EndpointID]*endpoint),
-		timer:          time.NewTimer(time.Hour), // until armTimer resets it, an expiry finds no expired timer
+		timer:          time.NewTimer(time.Hour), // if it expires before armTimer resets it, fireTimers does nothing
 	}
 	var err error
 	if l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
@@ -69,8 +70,8 @@
 // goroutines that post, so the queue always drains.
 func (l *eventLoop) post(event func(now time.Duration)) { l.events <- event }
 
-// run starts the Balancer with the cached endpoint list, then runs events until ctx ends. Events that are
-// still queued then never run, as the process is about to exit.
+// run starts the Balancer with the cached endpoint list, then runs events until ctx is cancelled. Events that
+// are still queued at that point are discarded, as the process is about to exit.
 func (l *eventLoop) run(ctx context.Context, cached endpointlist.List) {
 	l.start(cached)
 	counters := time.NewTicker(countersInterval)
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -19,11 +19,11 @@
 // response. The goroutine that carries it out enters each step with beginDial, beginWrite or finish. Any
 // goroutine may abandon it before it is finished.
 type exchange struct {
-	mu        sync.Mutex
-	abandoned bool
-	result    policy.Result // set when the exchange is abandoned
-	written   bool          // part of its request may have been sent
-	interrupt func()        // cancels the dial or closes the connection in use; nil if there is neither
+	mu            sync.Mutex
+	abandoned     bool
+	abandonResult policy.Result // set when the exchange is abandoned
+	written       bool          // part of its request may have been sent
+	interrupt     func()        // cancels the dial or closes the connection in use; nil if there is neither
 }
 
 // cancel abandons the exchange. A request that is not yet being written is never written.
@@ -39,7 +39,7 @@
 		return
 	}
 	if !x.abandoned {
-		x.abandoned, x.result = true, result
+		x.abandoned, x.abandonResult = true, result
 	}
 	if x.interrupt != nil {
 		x.interrupt()
@@ -78,7 +78,7 @@
 func (x *exchange) abandonedResult() (result policy.Result, abandoned bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.result, x.abandoned
+	return x.abandonResult, x.abandoned
 }
 
 // roundTrip carries out an exchange: it sends a request once and reads the response. Without a complete
--- a/internal/sidecar/gossip_test.go
+++ b/internal/sidecar/gossip_test.go
@@ -55,7 +55,7 @@
 func TestOnlyPeerGossipIsReceived(t *testing.T) {
 	broadcast, broadcastAddress := newUDPSocket(t)
 	peer, peerAddress := newUDPSocket(t)
-	stranger, _ := newUDPSocket(t)
+	nonPeer, _ := newUDPSocket(t)
 	g, messages := runGossip(t, broadcastAddress.String(), "127.0.0.1:9", "127.0.0.1:10", peerAddress.String())
 
 	g.send(gossip.Encode(testGossipMessage))
@@ -65,7 +65,7 @@
 		from *net.UDPConn
 		raw  []byte
 	}{
-		{stranger, gossip.Encode(testGossipMessage)},
+		{nonPeer, gossip.Encode(testGossipMessage)},
 		{peer, []byte("noise")},
 		{peer, make([]byte, 2000)},
 		{peer, nil},
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -38,8 +38,8 @@
 	r.attempts = append(r.attempts, l.transport.send(target, r.outbound, deadline, writeDeadline, attemptDone))
 }
 
-// maySend reports whether a request is open and has attempts and time left, and neither time limit has
-// expired.
+// maySend reports whether a request is open and has attempts and time left, and whether neither time limit is
+// negative, that is, expired.
 func (l *eventLoop) maySend(r *request, timeout, writeTimeout time.Duration) bool {
 	return !r.closed &&
 		len(r.attempts) < l.maxAttempts &&
@@ -61,16 +61,16 @@
 	return deadline, writeDeadline
 }
 
-// Reject responds with 503: the client may retry safely, as the request has not run or running it again has
-// no effect.
-func (l *eventLoop) Reject(id policy.RequestID, retryAfter time.Duration) {
+// Reject responds with 503: the client may retry safely, preferably after delay (0: not stated), as the request
+// has not run or running it again has no effect.
+func (l *eventLoop) Reject(id policy.RequestID, delay time.Duration) {
 	if r := l.requests[id]; r != nil && !r.closed {
-		l.respond(id, r, &response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
+		l.respond(id, r, &response{status: http.StatusServiceUnavailable, retryAfter: delay})
 	}
 }
 
-// Fail responds with 502, or with 504 if time ran out: the latest attempt timed out, or one is still in
-// flight. The request may have run.
+// Fail responds with 502, or with 504 if time ran out: the attempt that ended last timed out, or an attempt
+// is still in flight. The request may have run.
 func (l *eventLoop) Fail(id policy.RequestID) {
 	r := l.requests[id]
 	if r == nil || r.closed {
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -177,7 +177,7 @@
 	if in.cfg.MaxInFlight > 0 && inFlight > int64(in.cfg.MaxInFlight) {
 		return true
 	}
-	return inFlightBodyBytes > in.cfg.maxBodyBytes()
+	return inFlightBodyBytes > in.cfg.maxTotalBodyBytes()
 }
 
 // randomRetryAfter returns a random Retry-After, at most the configured maximum.
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -40,12 +40,12 @@
 // at the worst moment: right after a call that came too early and failed. At that moment one of its two
 // servers starts draining.
 type outage struct {
-	kind            outageKind
-	start           time.Time
-	minLength       time.Duration
-	responseTime    time.Duration // for calls that are not watches, after the recovery
-	drainingAddress string        // address of the server that starts draining
-	otherAddress    string        // address of the other server
+	kind           outageKind
+	start          time.Time
+	minLength      time.Duration
+	responseTime   time.Duration // for calls that are not watches, after the recovery
+	drainingServer string        // address of the server that starts draining
+	otherServer    string        // address of the other server
 
 	mu          sync.Mutex
 	recoveredAt time.Time     // zero: not recovered yet
@@ -186,7 +186,7 @@
 	}
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-0","hostPort":%q,"lifecycle":%q},{"instanceId":"s-1","hostPort":%q,"lifecycle":"ready"}]}`,
-		version, o.drainingAddress, lifecycle, o.otherAddress)
+		version, o.drainingServer, lifecycle, o.otherServer)
 }
 
 // attemptCounts counts the attempts at each server from the time on at which the drain counts as notified.
@@ -194,9 +194,9 @@
 	outage        *outage
 	notifiedAfter time.Duration // from the recovery until the drain counts as notified
 
-	mu       sync.Mutex
-	draining int
-	other    int
+	mu             sync.Mutex
+	drainingServer int // attempts at the draining server
+	otherServer    int // attempts at the other server
 }
 
 // dialServer connects a sidecar to a server that counts the attempt and answers it.
@@ -220,10 +220,10 @@
 		return
 	}
 	switch address {
-	case a.outage.drainingAddress:
-		a.draining++
-	case a.outage.otherAddress:
-		a.other++
+	case a.outage.drainingServer:
+		a.drainingServer++
+	case a.outage.otherServer:
+		a.otherServer++
 	}
 }
 
@@ -239,9 +239,9 @@
 				t.Run(fmt.Sprintf("%s/%s/%ds", mode, kind, seconds), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						counts := runThroughOutage(t, mode, kind, time.Duration(seconds)*time.Second)
-						if counts.draining > 0 || counts.other == 0 {
+						if counts.drainingServer > 0 || counts.otherServer == 0 {
 							t.Errorf("attempts once the drain counts as notified = %d at the draining server, %d at the other, want none and some",
-								counts.draining, counts.other)
+								counts.drainingServer, counts.otherServer)
 						}
 					})
 				})
@@ -283,20 +283,20 @@
 
 func newOutage(kind outageKind, minLength time.Duration) *outage {
 	return &outage{
-		kind:            kind,
-		start:           time.Now().Add(1500 * time.Millisecond),
-		minLength:       minLength,
-		responseTime:    2 * time.Second,
-		drainingAddress: "127.0.0.1:81",
-		otherAddress:    "127.0.0.1:82",
-		recovered:       make(chan struct{}),
+		kind:           kind,
+		start:          time.Now().Add(1500 * time.Millisecond),
+		minLength:      minLength,
+		responseTime:   2 * time.Second,
+		drainingServer: "127.0.0.1:81",
+		otherServer:    "127.0.0.1:82",
+		recovered:      make(chan struct{}),
 	}
 }
 
 // outageConfig returns the configuration of a sidecar that starts before the outage.
 func outageConfig(t *testing.T, mode string, o *outage) *Config {
 	t.Helper()
-	cfg := testConfig(t, fullListResponse(41, "ready", o.drainingAddress, o.otherAddress), func(_, settings map[string]any) {
+	cfg := testConfig(t, fullListResponse(41, "ready", o.drainingServer, o.otherServer), func(_, settings map[string]any) {
 		settings["discovery"] = mode
 		settings["rules"].(map[string]any)["stop_sending_within_ms"] = 1000.0
 		settings["rules"].(map[string]any)["ask_within_ms"] = 10000.0
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -12,11 +12,11 @@
 type request struct {
 	outbound         *outboundRequest
 	reply            chan<- response
-	deadline         time.Duration
-	attempts         []*exchange // indexed by attempt number; nil if the send was denied
-	inFlight         int         // attempts whose Outcome has not been reported yet
-	closed           bool        // the response was sent to reply, or the client has disconnected
-	deadlineExceeded bool        // the attempt that ended last timed out; Fail then responds with 504
+	deadline         time.Duration // the client's deadline, in the clock's time
+	attempts         []*exchange   // indexed by attempt number; nil if the send was denied
+	inFlight         int           // attempts whose Outcome has not been reported yet
+	closed           bool          // the response was sent to reply, or the client has disconnected
+	deadlineExceeded bool          // the attempt that ended last timed out; Fail then responds with 504
 }
 
 // response is the final response to a client's request.
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -52,10 +52,11 @@
 // reject responds to a request that is not accepted, and closes its connection: the end of that request is
 // uncertain, so the bytes that follow it can't be trusted to be the next request.
 //
-// The header Connection: close keeps net/http from reading the rest of the request before the response is
-// written. reject reads the rest itself, once the response is flushed: closing the connection with bytes
-// unread, or while the client is still writing, resets it, and a client whose write fails may never read the
-// response. net/http does not read the rest of a request after a response with Connection: close.
+// The header Connection: close in the response keeps net/http from reading the rest of the request before the
+// response is written. reject reads the rest itself, once the response is flushed: closing the connection with
+// bytes unread, or while the client is still writing, resets it, and a client whose write fails may never read
+// the response. net/http would read the rest after the handler returns, but not if the request itself has the
+// header Connection: close.
 func (in *ingress) reject(w http.ResponseWriter, r *http.Request, rejection *rejectionError) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(in.rejectedBodyTimeout)) // fails only on a closed connection
--- a/internal/sidecar/result.go
+++ b/internal/sidecar/result.go
@@ -10,20 +10,20 @@
 	"cranehatch/policy"
 )
 
-// The result of an attempt determines whether its request may have run, and so whether package policy may send the
-// request again. A wrong result can run a request of a class with policy.NonIdempotent twice. The rules:
+// The result of an attempt determines whether its request may have run, and so whether package policy may send
+// the request again. A wrong result can run a request of a policy.NonIdempotent class twice. The rules:
 //
 //   - ConnectFailed, NotSent and Rejected prove that the request never ran.
 //     ConnectFailed: the last byte of the request was not written, so the server never had a complete one.
-//     NotSent: the last byte was not written for a reason on the sidecar's side (the client has disconnected, the
-//     server drains, no file descriptor is left), or because a write deadline shorter than the usual dial timeout
-//     passed. It is no evidence about the server.
+//     NotSent: the last byte was not written for a reason on the sidecar's side (the client has disconnected,
+//     the server drains, no file descriptor is left), or because a write deadline shorter than the usual dial
+//     timeout passed. This is no evidence about the server.
 //     Rejected: the server reports with X-Not-Processed that the request has not run.
-//   - ConnectionLost, TimedOut, ServerError and Cancelled do not: once the last byte is written, the request may
-//     have run, whether or not a response arrives.
+//   - ConnectionLost, TimedOut, ServerError and Cancelled do not prove that: once the last byte is written, the
+//     request may have run, whether or not a response arrives.
 //
-// The errors below are divided the same way: errConnLimit and errAbandoned occur before the request is written, the
-// errors of readResponse after it.
+// The errors below are divided the same way: errConnLimit and errAbandoned occur before the request is written,
+// the errors of readResponse after it.
 
 // Errors that occur before the request is written: the request has not run.
 var (
--- a/internal/sidecar/result_test.go
+++ b/internal/sidecar/result_test.go
@@ -18,72 +18,72 @@
 	for name, c := range map[string]struct {
 		response     string
 		serverCloses bool // closes the connection after the response
-		result       policy.Result
+		want         policy.Result
 		pooled       bool
 	}{
 		"200": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-			result:   policy.Succeeded, pooled: true,
+			want:     policy.Succeeded, pooled: true,
 		},
 		"200 in chunks": {
 			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-			result:   policy.Succeeded, pooled: true,
+			want:     policy.Succeeded, pooled: true,
 		},
 		"200 after an interim response": {
 			response: "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
-			result:   policy.Succeeded, pooled: true,
+			want:     policy.Succeeded, pooled: true,
 		},
 		"200 with Connection: close": {
 			response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
-			result:   policy.Succeeded,
+			want:     policy.Succeeded,
 		},
 		"200 with bytes behind it": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\n",
-			result:   policy.Succeeded,
+			want:     policy.Succeeded,
 		},
 		"200 that ends with the connection": {
 			response: "HTTP/1.1 200 OK\r\n\r\nhi", serverCloses: true,
-			result: policy.ConnectionLost,
+			want: policy.ConnectionLost,
 		},
 		"500": {
 			response: "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-			result:   policy.ServerError, pooled: true,
+			want:     policy.ServerError, pooled: true,
 		},
 		"500, not processed": {
 			response: "HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			result:   policy.ServerError, pooled: true,
+			want:     policy.ServerError, pooled: true,
 		},
 		"503": {
 			response: "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-			result:   policy.ServerError, pooled: true,
+			want:     policy.ServerError, pooled: true,
 		},
 		"503, not processed": {
 			response: "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			result:   policy.Rejected, pooled: true,
+			want:     policy.Rejected, pooled: true,
 		},
 		"504, not processed": {
 			response: "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			result:   policy.Rejected, pooled: true,
+			want:     policy.Rejected, pooled: true,
 		},
 		"not HTTP": {
 			response: "SMTP ready\r\n\r\n", serverCloses: true,
-			result: policy.ConnectionLost,
+			want: policy.ConnectionLost,
 		},
 		"body cut short": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", serverCloses: true,
-			result: policy.ConnectionLost,
+			want: policy.ConnectionLost,
 		},
 		"body too long": {
 			response: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(tooLong), tooLong), serverCloses: true,
-			result: policy.ConnectionLost,
+			want: policy.ConnectionLost,
 		},
 		"headers without end": {
 			response: "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: "+tooLong+"\r\n", 9),
-			result:   policy.ConnectionLost,
+			want:     policy.ConnectionLost,
 		},
 		"connection closed without a response": {
 			serverCloses: true,
-			result:       policy.ConnectionLost,
+			want:         policy.ConnectionLost,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,8 +96,8 @@
 			})
 			tr := newTestTransport(t)
 			got := attempt(t, tr, s.endpoint, "1", testTimeout)
-			if got.result != c.result {
-				t.Fatalf("result = %v, want %v", got.result, c.result)
+			if got.result != c.want {
+				t.Fatalf("result = %v, want %v", got.result, c.want)
 			}
 			if got.result == policy.Succeeded && string(got.body) != succeeded {
 				t.Fatalf("body = %q, want %q", got.body, succeeded)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -34,7 +34,7 @@
 	c := newClock()
 	loop, err := newEventLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
-		return nil, fmt.Errorf("create the policy's balancer: %w", err)
+		return nil, fmt.Errorf("create balancer: %w", err)
 	}
 	s := &sidecar{cfg: cfg, loop: loop, ingress: newIngress(cfg, c, loop)}
 	s.discovery = newDiscoveryClient(cfg, loop.handleEndpointUpdate, loop.handleDiscoveryFailure)
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -62,13 +62,13 @@
 		limits.write = attemptDeadline
 	}
 	x := new(exchange)
-	// Registered before the goroutine starts, as abandonUnwritten may be called before it runs.
+	// Registered before the goroutine starts, as abandonUnwrittenTo may be called before it runs.
 	t.registerUnwritten(x, to)
 	go func() {
-		res, result := t.roundTrip(x, to, request, limits)
+		res, failure := t.roundTrip(x, to, request, limits)
 		t.unregisterUnwritten(x) // for exchanges that ended before the write
 		if res == nil {
-			done(attemptResult{result: result})
+			done(attemptResult{result: failure})
 			return
 		}
 		done(t.resultOf(res))
@@ -113,12 +113,12 @@
 	delete(t.unwritten, x)
 }
 
-// abandonUnwritten is called when a server drains or is no longer listed, after which no new request may be
+// abandonUnwrittenTo is called when a server drains or is no longer listed, after which no new request may be
 // sent to it.
 //
 // An attempt that is still dialing could otherwise be written long after the endpoint update. Such attempts
 // end as NotSent, so that package policy may choose another server.
-func (t *transport) abandonUnwritten(to *endpoint) {
+func (t *transport) abandonUnwrittenTo(to *endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for x, server := range t.unwritten {
