--- a/internal/sidecar/discovery_hedge.go
+++ b/internal/sidecar/discovery_hedge.go
@@ -10,8 +10,7 @@
 
 // fetch makes a call that discovery answers immediately, and returns the first valid response. After every
 // hedgeInterval without one it makes the same call again on another connection, concurrently with those in
-// flight (a hedged call). It fails once all calls in flight have failed, or after one invalid
-// response.
+// flight (a hedged call). It fails once all calls in flight have failed, or after one invalid response.
 //
 // Hedging guards against calls that start before discovery is reachable: such a call may never be answered,
 // and a sidecar that waits for it would read a drain too late. A shorter timeout is no alternative, as it
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -135,9 +135,9 @@
 	})
 }
 
-// Guards against a response without a list of instances that is taken for an empty list: all servers were
-// removed, and nothing was logged. Such a response is a failure: the known servers stay, and the next call
-// requests the full list.
+// Guards against a response without a list of instances that is taken for an empty list, which removes all
+// servers without a log line. Such a response is a failure: the known servers stay, and the next call requests
+// the full list.
 func TestResponseWithoutListIsAFailure(t *testing.T) {
 	runDiscoverySteps(t, fullListResponse(0, "ready"), []discoveryStep{
 		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -18,8 +18,7 @@
 
 // eventLoop owns the Balancer, which is single-threaded, and all state of requests and endpoints. A single
 // goroutine, which serve starts, executes run: it runs every event in order of arrival until its context is
-// cancelled.
-// All other code of this package reaches that state only by posting an event.
+// cancelled. All other code of this package reaches that state only by posting an event.
 //
 // This guarantees without locks that no request gets a second response, and that each attempt has exactly one
 // Outcome.
--- a/internal/sidecar/eventloop_test.go
+++ b/internal/sidecar/eventloop_test.go
@@ -52,7 +52,7 @@
 }
 
 // updateEndpoints applies a full endpoint list. The servers at the addresses have the ids s-0, s-1 and so on,
-// and all the same state.
+// and all have the same lifecycle state.
 func (l *eventLoop) updateEndpoints(t *testing.T, lifecycle string, addresses ...string) {
 	t.Helper()
 	update, err := endpointlist.Parse([]byte(fullListResponse(2, lifecycle, addresses...)), nil)
@@ -63,8 +63,8 @@
 	l.reportDeniedSends()
 }
 
-// addRequest adds a request to the table without the Balancer, so that the test takes the Balancer's
-// decisions.
+// addRequest adds a request to the table that the Balancer does not know, so that the test makes the decisions
+// about it.
 func (l *eventLoop) addRequest(id policy.RequestID) (*request, chan response) {
 	reply := make(chan response, 1)
 	r := &request{outbound: newTestOutboundRequest("1"), reply: reply, deadline: l.now + testTimeout}
@@ -78,8 +78,8 @@
 	proceed chan bool   // each item lets one dial proceed
 }
 
-// gateDials installs a gate in front of a transport's dials. A dial waits for the gate even when its context
-// has ended, as a dial may succeed at any time.
+// gateDials installs a gate in front of a transport's dials. A dial waits for the gate even after its context
+// has ended, as a dial may complete at any time.
 func gateDials(tr *transport) *dialGate {
 	gate := &dialGate{dials: make(chan string, 100), proceed: make(chan bool, 100)}
 	dial := tr.dial
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -51,7 +51,7 @@
 	close(closeNow)
 	wait(t, "the server to close", closed)
 	for end := time.Now().Add(testTimeout); connAlive(tr.idle[s.endpoint][0].Conn); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) { // the close has crossed the loopback long before
+		if time.Now().After(end) { // the close takes far less time on loopback
 			t.Fatal("connAlive = true for a connection that the server has closed, want false")
 		}
 	}
