--- a/internal/fleetsim/config.go
+++ b/internal/fleetsim/config.go
@@ -51,8 +51,8 @@
 	// Network configures the network within and between zones.
 	Network NetworkConfig
 
-	// Discovery configures the discovery service. Default: nil; sidecars get the complete endpoint list when
-	// the simulation starts, and the list never changes.
+	// Discovery configures the discovery service. Default: nil; sidecars get the full endpoint list when the
+	// simulation starts, and the list never changes.
 	Discovery *DiscoveryConfig
 
 	// EndpointID returns the ID of a server, and so determines the order of servers in a Balancer. It
@@ -124,7 +124,7 @@
 	FailureDetectionTime time.Duration
 }
 
-// validate returns an error that describes the first settings found that cannot be simulated.
+// validate returns an error for the first settings found that cannot be simulated.
 func (c *Config) validate() error {
 	switch {
 	case c.Sidecars < 1 || c.Servers < 1 || c.Zones < 1 || c.FirstZone < 0 || c.Regions < 1 || c.Regions > c.Zones:
--- a/internal/fleetsim/counts.go
+++ b/internal/fleetsim/counts.go
@@ -19,7 +19,7 @@
 
 	// CPU time of Balancers, if Config.MeasureCPU is set. It differs from run to run.
 	RequestCPU       time.Duration // in Request and Outcome
-	ControlCPU       time.Duration // in ReceiveGossip, TimerFired and UpdateEndpoints, with decoding
+	ControlCPU       time.Duration // in ReceiveGossip, TimerFired and UpdateEndpoints, including decoding
 	BalancerRequests int64         // requests passed to Balancers, including client retries
 
 	// The CPU time and requests of the first Config.HighRateSidecars sidecars only.
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -10,7 +10,7 @@
 	"cranehatch/policy"
 )
 
-// noVersion is the version of a caller that has no endpoint list. A call with it gets the complete list.
+// noVersion is the version of a caller that has no endpoint list. A call with it gets the full list.
 const noVersion = int64(-1)
 
 // cellCount is the number of cells, to which servers are assigned round robin.
@@ -39,11 +39,11 @@
 	watches    []*listCall // calls that are kept open until the list changes
 }
 
-// listCall is a call of a sidecar to discovery. It requests the changes since a version, or the complete
+// listCall is a call of a sidecar to discovery. It requests the changes since a version, or the full
 // list, and waits up to maxWait for a change.
 type listCall struct {
 	zone         int   // of the sidecar
-	sinceVersion int64 // noVersion requests the complete list
+	sinceVersion int64 // noVersion requests the full list
 	maxWait      time.Duration
 	queuedAt     time.Duration // when the call was last added to the queue
 	done         bool          // whether it was answered, timed out or was cancelled
@@ -119,14 +119,14 @@
 	if cached, ok := d.responses[callerVersion]; ok {
 		return cached
 	}
-	complete := callerVersion < 0 || callerVersion > d.version()
+	full := callerVersion < 0 || callerVersion > d.version()
 	var servers []int
-	if complete {
+	if full {
 		servers = d.listedServers()
 	} else {
 		servers = d.changedSince(callerVersion)
 	}
-	body := fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[`, d.version(), complete)
+	body := fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[`, d.version(), full)
 	for n, i := range servers {
 		if n > 0 {
 			body = append(body, ',')
@@ -138,7 +138,7 @@
 	return response
 }
 
-// listedServers returns the servers in the complete list, which omits removed servers.
+// listedServers returns the servers in the full list, which omits removed servers.
 func (d *simDiscovery) listedServers() (servers []int) {
 	for i, state := range d.states {
 		if state != policy.Removed {
--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -45,7 +45,7 @@
 
 // listQuery describes a call to discovery, either a poll or a watch.
 type listQuery struct {
-	sinceVersion int64 // noVersion requests the complete list
+	sinceVersion int64 // noVersion requests the full list
 	maxWait      time.Duration
 	timeout      time.Duration
 	watch        bool // whether the call waits for a change
@@ -73,7 +73,7 @@
 	c.send(query, c.round)
 }
 
-// nextQuery returns the next call to make: a poll for the complete list, a poll for the changes since the
+// nextQuery returns the next call to make: a poll for the full list, a poll for the changes since the
 // Balancer's version, or a watch for changes after that version.
 func (c *endpointClient) nextQuery() listQuery {
 	switch {
@@ -161,7 +161,7 @@
 }
 
 // update passes a list to the Balancer and calls discovery again. An invalid list, or a delta whose version
-// is older than the Balancer's, counts as a failed call, and the next call requests the complete list.
+// is older than the Balancer's, counts as a failed call, and the next call requests the full list.
 func (c *endpointClient) update(sinceVersion int64, response listResponse) {
 	s, sim := c.sidecar, c.sidecar.sim
 	started := s.startCPUTimer()
--- a/internal/fleetsim/faults_test.go
+++ b/internal/fleetsim/faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// All hosts of a zone fail and restart 20 s later. The restarted sidecars must read the complete list, and
+// All hosts of a zone fail and restart 20 s later. The restarted sidecars must read the full list, and
 // all others only the changes. No invariant may be violated, and all sidecars must have each change within
 // 5 s.
 func TestZoneOutage(t *testing.T) {
@@ -17,11 +17,11 @@
 	if c.Discovery.Changes != 2*failed {
 		t.Errorf("discovery recorded %d changes, want %d failures and as many restarts", c.Discovery.Changes, failed)
 	}
-	// Running sidecars read all changes. Each restarted sidecar reads the complete list, which has at least
+	// Running sidecars read all changes. Each restarted sidecar reads the full list, which has at least
 	// the running servers and at most all servers, and then the changes.
 	changes := int64(running * 2 * failed)
 	if c.EntriesRead < changes+failed*running || c.EntriesRead > changes+failed*(100+2*failed) {
-		t.Errorf("sidecars read %d entries, want at least %d and only the changes besides the complete lists",
+		t.Errorf("sidecars read %d entries, want at least %d and only the changes besides the full lists",
 			c.EntriesRead, changes+failed*running)
 	}
 	if times := sim.PropagationTimes(); len(times) != 2*failed || maxDuration(times) > 5*time.Second {
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -36,12 +36,12 @@
 }
 
 const (
-	// drainStopDelay is how long after a drain notice a sidecar may still send attempts to the server.
-	drainStopDelay = 1 * time.Second
+	// drainGrace is how long after a drain notice a sidecar may still send attempts to the server.
+	drainGrace = 1 * time.Second
 
-	// maxNoticeDelay is the time after which a sidecar counts as notified of a state that discovery has
+	// notifyTimeout is the time after which a sidecar counts as notified of a state that discovery has
 	// recorded, if the sidecar could reach discovery throughout this time.
-	maxNoticeDelay = 6 * time.Second
+	notifyTimeout = 6 * time.Second
 
 	// responseSlack is the time from the timeout of a client to the check that its request has a response.
 	responseSlack = 2 * time.Millisecond
@@ -88,12 +88,12 @@
 }
 
 // drainNoticeAt returns when a sidecar was notified that a server is draining or removed, and whether it was
-// notified. A sidecar also counts as notified maxNoticeDelay after discovery recorded the state, if it could
+// notified. A sidecar also counts as notified notifyTimeout after discovery recorded the state, if it could
 // reach discovery for all that time.
 func (sim *Simulation) drainNoticeAt(s *simSidecar, server *simServer) (at time.Duration, notified bool) {
 	at, notified = s.drainNotices[server.id]
 	if server.drainingSince > 0 && sim.discoveryReachable(s.zone) {
-		assumed := max(server.drainingSince, sim.discoveryReachableSince[s.zone]) + maxNoticeDelay
+		assumed := max(server.drainingSince, sim.discoveryReachableSince[s.zone]) + notifyTimeout
 		if !notified || assumed < at {
 			at, notified = assumed, true
 		}
@@ -103,7 +103,7 @@
 
 // checkSend checks NoSendWhileDraining when a sidecar sends an attempt.
 func (sim *Simulation) checkSend(s *simSidecar, server *simServer) {
-	if at, notified := sim.drainNoticeAt(s, server); notified && sim.clock.now > at+drainStopDelay {
+	if at, notified := sim.drainNoticeAt(s, server); notified && sim.clock.now > at+drainGrace {
 		sim.recordViolation(NoSendWhileDraining, "sidecar %d sent an attempt to server %s %v after its drain notice",
 			s.index, server.name, sim.clock.now-at)
 	}
--- a/internal/fleetsim/invariants_test.go
+++ b/internal/fleetsim/invariants_test.go
@@ -91,7 +91,7 @@
 }
 
 // A server drains while one region cannot reach discovery. The sidecars of this region must not count as
-// notified until maxNoticeDelay after the partition has healed.
+// notified until notifyTimeout after the partition has healed.
 func TestDrainNoticeNeedsReachableDiscovery(t *testing.T) {
 	sim := idleSimulation(t)
 	sim.PartitionRegions()
@@ -102,12 +102,12 @@
 	if _, notified := sim.drainNoticeAt(remote, server); notified {
 		t.Error("sidecar without access to discovery counts as notified, want not notified")
 	}
-	if at, notified := sim.drainNoticeAt(local, server); !notified || at != server.drainingSince+maxNoticeDelay {
+	if at, notified := sim.drainNoticeAt(local, server); !notified || at != server.drainingSince+notifyTimeout {
 		t.Errorf("sidecar in the region of discovery: notified = %v at %v, want notified 6 s after the server started draining",
 			notified, at)
 	}
 	sim.HealPartition()
-	if at, notified := sim.drainNoticeAt(remote, server); !notified || at != sim.clock.now+maxNoticeDelay {
+	if at, notified := sim.drainNoticeAt(remote, server); !notified || at != sim.clock.now+notifyTimeout {
 		t.Errorf("sidecar after the partition: notified = %v at %v, want notified 6 s after %v",
 			notified, at, sim.clock.now)
 	}
--- a/internal/fleetsim/scale_events_test.go
+++ b/internal/fleetsim/scale_events_test.go
@@ -49,7 +49,7 @@
 	for _, e := range scaleEventCases {
 		for _, n := range []int{100, 1100, 11000} {
 			for _, form := range selectedForms(n) {
-				out.row(e.simulate(t, n, form)...)
+				out.addRow(e.simulate(t, n, form)...)
 			}
 		}
 	}
--- a/internal/fleetsim/scale_rate_test.go
+++ b/internal/fleetsim/scale_rate_test.go
@@ -19,7 +19,7 @@
 		highRateSidecars, highRate, lowRate, steadyDuration, steadyWarmUp))
 	for _, n := range []int{16, 100, 300, 1100, 1551} {
 		if n <= *scaleMaxSidecars {
-			out.row(simulateHighRate(t, n)...)
+			out.addRow(simulateHighRate(t, n)...)
 		}
 	}
 }
--- a/internal/fleetsim/scale_sizes_test.go
+++ b/internal/fleetsim/scale_sizes_test.go
@@ -25,7 +25,7 @@
 		"all services share the caches of one machine, and the measurement adds about 0.1 us per datagram. Memory is the heap of the largest service, including the simulation.")
 	for _, n := range []int{100, 300, 1000, 3000, 11000} {
 		for _, form := range selectedForms(n) {
-			out.row(simulateSize(t, n, form)...)
+			out.addRow(simulateSize(t, n, form)...)
 		}
 	}
 }
--- a/internal/fleetsim/scale_test.go
+++ b/internal/fleetsim/scale_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// row prints a row. All rows of a table must have the same columns.
-func (t *table) row(cells ...tableCell) {
+// addRow prints a row. All rows of a table must have the same columns.
+func (t *table) addRow(cells ...tableCell) {
 	if !t.hasHeader {
 		t.hasHeader = true
 		t.print(cells, func(c tableCell) string { return c.title })
--- a/internal/fleetsim/sidecar.go
+++ b/internal/fleetsim/sidecar.go
@@ -29,7 +29,7 @@
 	highRate    bool    // whether it is one of Config.HighRateSidecars
 
 	requests     map[policy.RequestID]*request       // in progress, by ID
-	drainNotices map[policy.EndpointID]time.Duration // when a list first reported the server draining or gone
+	drainNotices map[policy.EndpointID]time.Duration // when first notified of draining or removal
 	endpoints    endpointClient
 }
 
--- a/internal/sidecarbench/bench_test.go
+++ b/internal/sidecarbench/bench_test.go
@@ -62,8 +62,8 @@
 	return &Bench{Program: buildSidecar(t), StandIn: os.Args[0], Dir: t.TempDir(), LatencyObjective: latencyObjective}
 }
 
-// Guards against incomplete measurements: each request through the real program has to succeed and reach a
-// server once, and all gossip has to be received. With -measure, TestOverhead makes the full measurement
+// Guards against incomplete measurements: each request through the real program must succeed and reach a
+// server once, and all gossip must be received. With -measure, TestOverhead makes the full measurement
 // instead and prints the results without checking them.
 func TestOverhead(t *testing.T) {
 	if *measure {
--- a/internal/sidecarbench/breakdown.go
+++ b/internal/sidecarbench/breakdown.go
@@ -46,7 +46,7 @@
 		result: CPUBreakdown{FleetSize: size, ServiceTime: serviceTime, RequestRate: requestRate, GossipRate: b.gossipRate(size)},
 	}
 	err = m.run(ctx, rounds)
-	// The generator first: the sidecar stops only after its connections are closed.
+	// Stop the generator first: the sidecar exits only when all connections to it are closed.
 	err = errors.Join(err, generator.stop(), tb.close())
 	return m.result, err
 }
--- a/internal/sidecarbench/gossip.go
+++ b/internal/sidecarbench/gossip.go
@@ -18,7 +18,7 @@
 	Senders           int        // peers with a socket; they send the gossip of all peers
 	Rate              float64    // datagrams per second
 	Silent, Receiving []Interval // pairs of intervals without gossip and with gossip
-	Received          int64      // received datagrams by the sidecar's last counters line, logged every 10 s
+	Received          int64      // datagrams, as of the last counters line in the log; there is one every 10 s
 }
 
 // gossipRate returns the number of datagrams per second that a sidecar receives if each of its peers sends
--- a/internal/sidecarbench/load.go
+++ b/internal/sidecarbench/load.go
@@ -27,7 +27,7 @@
 	Targets     []string      // addresses, used in round-robin order
 	Rate        float64       // requests per second
 	Requests    int           // number of requests
-	MaxInFlight int           // maximum number of concurrent requests; waiting counts towards latency
+	MaxInFlight int           // maximum number of concurrent requests; latency includes the wait of others
 	Timeout     time.Duration // timeout of each request
 	IDPrefix    string        // prefix of the request IDs, unique among concurrent loads
 }
--- a/internal/sidecarbench/load_test.go
+++ b/internal/sidecarbench/load_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against failures that are counted as OK: a load has to count responses with another status or length
+// Guards against failures that are counted as OK: a load must count responses with another status or length
 // as wrong, and requests without a response as failed.
 func TestLoadCountsWrongResponses(t *testing.T) {
 	var received atomic.Int64
@@ -83,7 +83,7 @@
 	}
 }
 
-// Run has to return an error for a load without any field set.
+// Run must return an error for a load without any field set.
 func TestInvalidLoad(t *testing.T) {
 	if _, err := (Load{}).Run(t.Context(), newClient(1)); err == nil {
 		t.Error("Run of a load without fields: error = nil, want an error")
@@ -91,7 +91,7 @@
 }
 
 // Guards against a load that goes on after its context has ended. The context ends during the first request,
-// and Run has to return an error rather than go on with the other requests.
+// and Run must return an error rather than go on with the other requests.
 func TestLoadStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	address := newServer(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecarbench/process_usage_test.go
+++ b/internal/sidecarbench/process_usage_test.go
@@ -26,8 +26,8 @@
 	return cmd, stdin, stdout
 }
 
-// Guards against a wrong reading of the CPU-time clock of another process: the CPU time has to grow while the
-// process works, agree with rusage, and be an error after the end of the process.
+// Guards against a wrong reading of the CPU-time clock of another process: the CPU time must grow while the
+// process works and agree with rusage, and reading it after the end of the process must fail.
 func TestProcessUsage(t *testing.T) {
 	cmd, stdin, stdout := startBusyProcess(t)
 	before, err := cpuTime(cmd.Process.Pid)
--- a/internal/sidecarbench/requests.go
+++ b/internal/sidecarbench/requests.go
@@ -54,7 +54,7 @@
 	}
 	err = m.run(ctx, requests, pairs)
 	m.cost.Warnings = tb.sidecar.warnings.Load()
-	// The generator first: the sidecar stops only after its connections are closed.
+	// Stop the generator first: the sidecar exits only when all connections to it are closed.
 	err = errors.Join(err, generator.stop())
 	err = errors.Join(err, tb.close())
 	if err != nil {
--- a/internal/sidecarbench/sidecar_process.go
+++ b/internal/sidecarbench/sidecar_process.go
@@ -20,7 +20,7 @@
 	cmd            *exec.Cmd
 	address        string        // where applications connect
 	logEnded       chan struct{} // closed when the log has ended
-	gossipReceived atomic.Int64  // datagrams received by the last counters line in the log, written every 10 s
+	gossipReceived atomic.Int64  // datagrams, as of the last counters line in the log; there is one every 10 s
 	warnings       atomic.Int64  // log lines of level WARN or ERROR
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// stop shuts the sidecar down gracefully and waits for its end. The sidecar ends when all connections to it
+// stop shuts the sidecar down gracefully and waits until it exits. The sidecar exits when all connections to it
 // are closed.
 func (s *sidecarProcess) stop() error {
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/sidecarbench/standin_peers.go
+++ b/internal/sidecarbench/standin_peers.go
@@ -18,7 +18,7 @@
 // objective.
 const uncongested = 0.01
 
-// gossipLoad is the gossip that the stand-in for peers has to send to the sidecar.
+// gossipLoad describes the gossip that the stand-in for peers sends to the sidecar.
 type gossipLoad struct {
 	Target string  // gossip address of the sidecar
 	Rate   float64 // datagrams per second, the sum over all senders
--- a/internal/sidecarbench/standin_process.go
+++ b/internal/sidecarbench/standin_process.go
@@ -16,7 +16,7 @@
 type standIn struct {
 	role      string
 	cmd       *exec.Cmd
-	stdin     io.Closer // closing it ends the process
+	stdin     io.Closer // closing it stops the process
 	addresses standInAddresses
 }
 
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-// stop ends the process and waits for its end.
+// stop stops the process and waits until it exits.
 func (s *standIn) stop() error {
 	_ = s.stdin.Close() // fails only if stdin is already closed
 	if err := s.cmd.Wait(); err != nil {
--- a/internal/sidecarbench/tables_test.go
+++ b/internal/sidecarbench/tables_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// The overhead of the sidecar has to be the difference within each pair of blocks, not the difference of the
+// The overhead of the sidecar must be the difference within each pair of blocks, not the difference of the
 // means.
 func TestTablesComparePairs(t *testing.T) {
 	c := RequestCost{FleetSize: FleetSize{Peers: 16, Servers: 16}, Rate: 373, UserCPU: time.Second, SystemCPU: time.Second,
@@ -53,7 +53,7 @@
 	checkContains(t, RequestTable([]RequestCost{c}), "| 16 | 16 | 373 | sidecar | 200 | 0 |", "| 150 (sd 71; 100 to 200) |")
 }
 
-// The CPU time per datagram has to leave out dropped datagrams and the CPU time of a silent interval of the
+// The CPU time per datagram must leave out dropped datagrams and the CPU time of a silent interval of the
 // same length.
 func TestCPUPerDatagram(t *testing.T) {
 	c := GossipCost{
@@ -63,7 +63,7 @@
 	checkSamples(t, "us/datagram", c.cpuPerDatagram(), 3)
 }
 
-// The CPU times per request and per datagram have to leave out the CPU time of an idle interval.
+// The CPU times per request and per datagram must leave out the CPU time of an idle interval.
 func TestCPUBreakdownTable(t *testing.T) {
 	intervals := func(cpu time.Duration) []Interval {
 		return []Interval{{Duration: 2 * time.Second, CPU: cpu, Datagrams: 100, Requests: 10, OK: 9}}
--- a/internal/sidecarbench/testbed.go
+++ b/internal/sidecarbench/testbed.go
@@ -43,7 +43,7 @@
 	return tb, nil
 }
 
-// start starts all processes and measures the start of the sidecar. After an error, the caller has to call
+// start starts all processes and measures the start of the sidecar. After an error, the caller must call
 // close to stop the processes that are running.
 func (tb *testbed) start(ctx context.Context, b *Bench, serviceTime time.Duration) error {
 	if err := tb.startStandIns(ctx, b.StandIn, serviceTime); err != nil {
@@ -121,7 +121,7 @@
 	return conn.LocalAddr().String(), conn.Close()
 }
 
-// measureStart measures the start of the sidecar, which has to be ready already: the usage until now, and the
+// measureStart measures the start of the sidecar, which must be ready already: the usage until now, and the
 // usage until the sidecar watches its endpoint list.
 func (tb *testbed) measureStart(ctx context.Context, timeout time.Duration) (err error) {
 	cost := &tb.startCost
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -124,7 +124,7 @@
 	due := timeoutFrom.Add(r.timeout + responseGrace + c.tolerance)
 	switch {
 	case r.answered && r.endedAt.After(due):
-		c.addFinding("late", r.endedAt, "request %s (class %s) answered %v after its timeout",
+		c.addFinding("late response", r.endedAt, "request %s (class %s) answered %v after its timeout",
 			r.id, r.class, r.endedAt.Sub(timeoutFrom.Add(r.timeout)))
 	case r.answered:
 	case c.journal.killedAt.IsZero() && r.sentAt.Before(end):
@@ -147,7 +147,7 @@
 	if closedAtOnce && (c.plan.IdleFlood || r.idleBefore > minIdleClose-c.tolerance) {
 		return
 	}
-	c.addFinding("unanswered", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s): %s after %v",
+	c.addFinding("missing response", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s): %s after %v",
 		r.id, r.class, r.timeout, r.connection, why, r.failure, r.endedAt.Sub(r.sentAt))
 }
 
@@ -243,12 +243,13 @@
 				last++
 			}
 			expected := overloadFactor * capacity * meanCapacityFraction(times[first]) * overloadWindow.Seconds()
-			deviation := 2*math.Sqrt(expected) + 2 // random variation of the number of requests
+			// Allowance for random arrivals: some standard deviations of a Poisson distribution, plus some requests.
+			deviation := 2*math.Sqrt(expected) + 2
 			if expected < 30 {
 				deviation = 3*math.Sqrt(expected) + 3
 			}
 			if float64(last-first) > expected+deviation {
-				c.addFinding("slow start", start.at, "server %d got %d requests in the %v that began %v after its start, want at most %.0f plus %.0f for random variation",
+				c.addFinding("slow start", start.at, "server %d got %d requests in the %v that began %v after its start, want at most %.0f plus %.0f for random arrivals",
 					start.server, last-first, overloadWindow, times[first], expected, deviation)
 				break
 			}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -53,7 +53,7 @@
 	connNumber int      // number of the current connection
 	conn       net.Conn // nil: not connected
 	reader     *bufio.Reader
-	idleSince  time.Time // since when the connection has no open request
+	idleSince  time.Time // since when the connection has had no open request
 }
 
 // run runs one client until the clients are stopped.
--- a/internal/soak/config.go
+++ b/internal/soak/config.go
@@ -14,8 +14,9 @@
 	slowStartDuration = 8 * time.Second
 	// The fraction of its capacity that a server has at its start.
 	slowStartFraction = 0.1
-	// A server is overloaded if it gets more than overloadFactor times its capacity for overloadWindow.
+	// A server is overloaded if it gets more than this multiple of its capacity for overloadWindow.
 	overloadFactor = 1.0
+	// How long the excess must last before the server counts as overloaded.
 	overloadWindow = 2 * time.Second
 	// The quota of the only tenant, in requests per second. checkSlowStarts takes it as the capacity of all
 	// servers together.
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -38,7 +38,7 @@
 	start      *slowStart  // the start that the change announces; nil: none
 }
 
-// endpointList is the endpoint list that all discoveries serve. Each discovery numbers its versions
+// endpointList is the endpoint list that both stand-ins for discovery serve. Each of them numbers the versions
 // differently.
 type endpointList struct {
 	journal *journal
@@ -123,8 +123,9 @@
 	return len(l.changes), entries, l.nextChange
 }
 
-// markNotified records that an endpoint list was written to the sidecar: the withdrawals and starts in its
-// entries count as notified. If it was a full list, those in the first count changes do.
+// markNotified records that an endpoint list was written to the sidecar. The withdrawals and starts that it
+// reports count as notified from now on: those in its entries, or for a full list those in the first count
+// changes, because a full list reports a removal by omitting the server.
 func (l *endpointList) markNotified(count int, full bool, entries []endpointChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +145,7 @@
 	})
 }
 
-// discovery is a stand-in of discovery, with its own listener and version numbers.
+// discovery is a stand-in for discovery, with its own listener and version numbers.
 type discovery struct {
 	index        int // in run.discovery
 	endpointList *endpointList
@@ -154,7 +155,7 @@
 
 	mu              sync.Mutex
 	mode            DiscoveryMode
-	reachableFrom   time.Time     // when discovery became reachable; zero: it is not, or its watches were left unanswered
+	reachableFrom   time.Time     // when discovery became reachable; zero: not reachable, or watches were left unanswered
 	interrupted     chan struct{} // closed to interrupt the open watches
 	leaveUnanswered bool          // interrupted watches stay open without an answer; otherwise they are reset
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,6 @@
-// Package soak runs the real sidecar process between stand-ins of clients, servers and discovery, injects random
-// faults, and checks from outside that the sidecar keeps its guarantees. All faults are drawn from one seed.
+// Package soak runs the real sidecar process between stand-ins for clients, servers and discovery, injects
+// random faults, and checks from outside that the sidecar keeps its guarantees. All faults are drawn from one
+// seed.
 //
 // A Plan holds the parameters and events of a run; plan.go draws it from the seed. Run executes a plan: run.go
 // starts the process and sends its signals, and server.go, discovery.go and client.go contain the stand-ins,
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -21,13 +21,13 @@
 type clientRequest struct {
 	id             string
 	class          string
-	previous       *clientRequest // pipelined request before this one, still open when this one was sent; nil: none
+	previous       *clientRequest // pipelined request before this one, open when this one was sent; nil: none
 	connection     int            // number of its connection
 	idleBefore     time.Duration  // how long its connection had no open request before this one was sent
 	sentAt         time.Time      // when its last byte was written
 	timeout        time.Duration  // of the client, counted from sentAt
 	disconnectedAt time.Time      // when the client closed the connection early; zero: it waited for the response
-	endedAt        time.Time      // when the response was complete or the connection closed; zero: neither in this run
+	endedAt        time.Time      // when the response was complete or the connection closed; zero: not in this run
 	status         int            // zero: no response
 	responseBody   string
 	failure        string // error with which the connection ended before a complete response
@@ -69,10 +69,10 @@
 	waited      time.Duration // until a response came or the connection was closed
 }
 
-// resourceUsage is the most descriptors and memory that the process held.
+// resourceUsage is the maximum resource usage of the process in a run.
 type resourceUsage struct {
-	descriptors int
-	memoryKB    int
+	descriptors int // open descriptors
+	memoryKB    int // resident memory
 }
 
 // journal records what the stand-ins observe in one run. Its methods are safe for concurrent use.
@@ -95,8 +95,11 @@
 	exitError    error         // nil: status 0
 	suspended    time.Duration // total time for which SIGSTOP suspended the process
 	cpuTime      time.Duration // used by the process
-	impaired     []interval    // times in which faults excuse a low served fraction
-	log          string        // of the sidecar
+
+	// Times in which faults excuse a low served fraction: less than half of the servers were healthy or discovery
+	// was not reachable, or this was so less than recoveryGrace before.
+	impaired []interval
+	log      string // of the sidecar
 }
 
 // interval is a part of a run.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -26,29 +26,30 @@
 // EventKind identifies what an Event does.
 type EventKind int
 
-// The kinds of events. "For a time" means for the Event's Duration.
+// The kinds of events. "For a time" means for the Event's Duration. A server that becomes ready again has a
+// new start time.
 const (
 	ServerFault            EventKind = iota // a server answers in the Event's Mode for a time
-	ServerDraining                          // a server is listed as draining for a time, then returns with a new start time
-	ServerRemoved                           // a server is removed from the list for a time, then returns with a new start time
-	AllServersRemoved                       // all servers are removed from the list for a time, then return with new start times
+	ServerDraining                          // a server is listed as draining for a time, then returns
+	ServerRemoved                           // a server is removed from the list for a time, then returns
+	AllServersRemoved                       // all servers are removed from the list for a time, then return
 	DiscoveryDown                           // discovery resets all connections for a time
 	DiscoverySlow                           // discovery delays its responses for a time
 	DiscoveryOverloaded                     // discovery answers 503 for a time
 	WatchesUnanswered                       // the watches that are now open are never answered
 	WatchesReset                            // the connections of the watches that are now open are reset
 	DiscoveryInvalidList                    // discovery answers with an invalid endpoint list for a time
-	ChangeDiscovery                         // a new configuration names the other discovery; SIGHUP
+	ChangeDiscovery                         // a new configuration names the other discovery, SIGHUP
 	ChangeDiscoveryAndBack                  // as ChangeDiscovery, followed by the same change in reverse
-	TruncatedConfig                         // the configuration file is truncated; SIGHUP; the file is restored; SIGHUP
+	TruncatedConfig                         // the configuration file is truncated, SIGHUP; the file is restored, SIGHUP
 	Suspend                                 // SIGSTOP, followed by SIGCONT after a time
 	eventKindCount
 )
 
 var eventNames = [eventKindCount]string{
 	"server fault", "server draining", "server removed", "all servers removed", "discovery down", "discovery slow",
-	"discovery overloaded", "watches unanswered", "watches reset", "invalid endpoint list", "move", "move away and back",
-	"truncated configuration", "suspend",
+	"discovery overloaded", "watches unanswered", "watches reset", "invalid endpoint list", "discovery change",
+	"discovery change and back", "truncated configuration", "sidecar suspended",
 }
 
 // eventWeights holds the relative frequency with which each kind is drawn.
@@ -82,8 +83,8 @@
 	Seed           uint64
 	Pushed         bool          // the sidecar watches the endpoint list; otherwise it polls the list
 	Deadline       time.Duration // of all classes
-	DedupScope     string        // where servers drop repeats of requests that are idempotent by key: all, zone or cell
-	DedupWindow    time.Duration // how long servers drop such repeats
+	DedupScope     string        // where servers drop repeats of idempotent-by-key requests: all, zone or cell
+	DedupWindow    time.Duration // for how long servers drop such repeats
 	Servers        int           // number of servers
 	Clients        int           // number of clients that send requests
 	MaxDescriptors int           // limit on the sidecar's open descriptors
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -26,7 +26,7 @@
 	Attempts     int
 	LongestStall time.Duration // longest time for which the machine stalled
 	CPUTime      time.Duration // used by the sidecar
-	PeakUsage    string        // most descriptors and memory that the sidecar held
+	PeakUsage    string        // maximum number of descriptors and maximum memory of the sidecar
 	Log          string        // of the sidecar
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -27,7 +27,7 @@
 	secondBaseVersion = 3
 	// How long before SIGTERM the servers begin to hang, in plans with AllServersHang.
 	allHangLeadTime = 100 * time.Millisecond
-	// How much of the configuration file TruncatedConfig leaves.
+	// How many bytes of the configuration file TruncatedConfig leaves.
 	truncatedConfigBytes = 100
 )
 
@@ -35,9 +35,9 @@
 type run struct {
 	plan                Plan
 	journal             *journal
-	servers             []*server // stand-ins of the servers
+	servers             []*server // stand-ins for the servers
 	endpointList        *endpointList
-	discovery           [2]*discovery // two stand-ins of discovery, both with the list in endpointList
+	discovery           [2]*discovery // two stand-ins for discovery, both with the list in endpointList
 	configuredDiscovery atomic.Int32  // index of the discovery that the latest configuration names
 	configPath          string
 	address             string // where the sidecar listens for clients
@@ -103,7 +103,7 @@
 }
 
 // freeAddress returns a loopback address with a port on which nothing listens. Its IP address is one that the
-// system doesn't pick for other listeners or connections.
+// system doesn't pick for other listeners or connections, so the port stays free until the sidecar binds it.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.50.1:0")
 	if err != nil {
@@ -270,7 +270,8 @@
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(r.configPath, text[:truncatedConfigBytes], 0o600) // on failure, SIGHUP finds the complete file
+	// If this fails, SIGHUP finds the complete file.
+	_ = os.WriteFile(r.configPath, text[:truncatedConfigBytes], 0o600)
 	r.signal(syscall.SIGHUP)
 	time.Sleep(signalDelay)
 	_ = r.writeConfigFor(int(r.configuredDiscovery.Load()))
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -33,7 +33,7 @@
 
 var modeNames = [serverModeCount]string{
 	"healthy", "hangs", "resets requests", "resets connections", "truncated header", "truncated body", "500",
-	"503 not processed", "closes idle connections", "duplicate response", "noise",
+	"503 not processed", "closes idle connections", "duplicate response", "invalid HTTP",
 }
 
 func (m ServerMode) String() string { return modeNames[m] }
@@ -44,7 +44,7 @@
 	maxRequestBody = 1 << 20 // bytes
 )
 
-// server is a stand-in of one server.
+// server is a stand-in for one server.
 type server struct {
 	index         int // determines its zone and cell
 	zone          string
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 	cmd := exec.Command("bash", "-c", string(build[1])+` "$0" ./cmd/sidecar`, path)
 	cmd.Dir = "../.."
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("build the sidecar: %v\n%s", err, out)
+		t.Fatalf("build sidecar: %v\n%s", err, out)
 	}
 	return path
 }
