--- a/internal/sidecarbench/sidecar_process.go
+++ b/internal/sidecarbench/sidecar_process.go
@@ -34,8 +34,8 @@
 	warningPattern = regexp.MustCompile(`^\S+ \S+ (WARN|ERROR) `)
 )
 
-// startSidecar starts the sidecar program and returns when it answers GET /up with 200. The process is killed
-// when ctx ends.
+// startSidecar starts the sidecar program, waits until it logs its listen address, and returns when it has
+// answered GET /up with 200. Any other answer is an error. The process is killed when ctx ends.
 func startSidecar(ctx context.Context, program, configPath string) (*sidecarProcess, error) {
 	cmd := exec.CommandContext(ctx, program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+configPath)
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -102,7 +102,7 @@
 	log      string // of the sidecar
 }
 
-// interval is a part of a run.
+// interval is a period within a run.
 type interval struct{ from, to time.Time }
 
 func (j *journal) addAttempt(a *attempt) {
