--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -49,6 +49,6 @@
 	return sidecar.Run(ctx, cfg, reload)
 }
 
-// memoryLimit returns the soft memory limit of the Go runtime, in bytes. The garbage collector runs more
-// often as memory use approaches it. It is half of the size above which the platform kills the process.
+// memoryLimit returns the soft memory limit of the Go runtime, in bytes: half of the size above which the
+// platform kills the process. The garbage collector runs more often as memory use approaches the limit.
 func memoryLimit(megabytes int) int64 { return int64(megabytes) << 20 / 2 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// Guards against a sidecar that is terminated by SIGHUP, as a Go program is that does not handle it. SIGHUP
-// must only make it reload its configuration, even several times and while discovery is unreachable. It must
-// keep serving until SIGTERM, and then exit with code 0.
+// Guards against termination by SIGHUP, the default in a Go program that does not handle the signal. SIGHUP
+// must only make the sidecar reload its configuration, even several times and while discovery is unreachable.
+// The sidecar must keep serving until SIGTERM, and then exit with code 0.
 func TestServesUntilSIGTERM(t *testing.T) {
 	cmd := sidecarCommand(t, validConfig)
 	lines := startWithLog(t, cmd)
--- a/internal/sidecar/acceptor.go
+++ b/internal/sidecar/acceptor.go
@@ -32,7 +32,7 @@
 	mu           sync.Mutex // also guards the state of each clientConn
 	openConns    int
 	idleConns    list.List     // of *clientConn without a request in flight, longest idle first
-	closingConns list.List     // of *clientConn whose sending side is closed, longest closing first
+	closingConns list.List     // of *clientConn whose sending side is closed, oldest first
 	allClosed    chan struct{} // closed once no connection is open; nil before drained is called
 
 	capacityFreed chan struct{} // has an item when a connection may have been closed or become idle
@@ -80,8 +80,8 @@
 }
 
 // makeCapacity reports whether one more connection may be open, closing another connection if necessary. If
-// none may be closed yet, it returns after how long to try again: when the longest idle connection may be
-// closed, or minClientIdle if none is idle.
+// none may be closed yet, it returns the time to wait before the next try: until the longest idle connection
+// may be closed, or minClientIdle if none is idle.
 func (a *acceptor) makeCapacity() (retryAfter time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,7 +117,8 @@
 	return c
 }
 
-// release removes a connection from the acceptor's count and lists, once. The caller holds the lock.
+// release removes a connection from the acceptor's count and lists. It does nothing if it has already done so.
+// The caller holds the lock.
 func (a *acceptor) release(c *clientConn) {
 	if c.closed {
 		return
@@ -179,7 +180,8 @@
 	}
 }
 
-// notifyAllClosed closes allClosed if drained has been called, once. The caller holds the lock.
+// notifyAllClosed closes allClosed, unless drained has not been called or allClosed is closed already. The
+// caller holds the lock.
 func (a *acceptor) notifyAllClosed() {
 	if a.allClosed == nil {
 		return
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -46,7 +46,7 @@
 	httpReading        bool           // net/http is in Read
 	backgroundByteRead bool           // net/http's latest read was of one byte, as its background read is
 	monitor            *clientMonitor // of the request in flight; nil: no handler is waiting for a response
-	buffered           []byte         // read from the socket, not yet by net/http; owned by the current reader
+	buffered           []byte         // bytes from the socket that net/http has yet to read; owned by the current reader
 	boundary           requestBoundary
 
 	bufferedAt time.Time // when the latest bytes in buffered were read from the socket
--- a/internal/sidecar/clientmonitor.go
+++ b/internal/sidecar/clientmonitor.go
@@ -151,5 +151,6 @@
 	}
 	closed := false
 	err := m.conn.pollSocket(unix.POLLRDHUP, func(events int16) { closed = remoteClosed(events) })
-	return closed || err != nil && !errors.Is(err, errNotSocket) // the connection is closed on this side
+	// Any error but errNotSocket means that the connection is closed on this side.
+	return closed || err != nil && !errors.Is(err, errNotSocket)
 }
--- a/internal/sidecar/clientmonitor_test.go
+++ b/internal/sidecar/clientmonitor_test.go
@@ -51,7 +51,7 @@
 			c := sendOnNewConn(t, address, rawRequest("gone"))
 			l.runNextEvent(t) // the request is sent
 			wait(t, "the first attempt", rejecting.receivedRequests)
-			l.runNextEvent(t) // the server rejects it; it waits for another server
+			l.runNextEvent(t) // the server rejects the request, which then waits for another server
 			if len(l.requests) != 1 {
 				t.Fatalf("%d requests in the table, want 1", len(l.requests))
 			}
@@ -98,87 +98,87 @@
 	gate      *dialGate
 	server    *stub
 	rejecting *stub
-	address   string // that clients connect to
+	address   string // address that clients connect to
 }
 
 func newDelayedDisconnect(t *testing.T) *delayedDisconnect {
 	t.Helper()
-	n := &delayedDisconnect{server: newStub(t, echo), rejecting: newStub(t, respondNotProcessed)}
-	n.loop = newTestLoop(t, n.server.address)
-	n.gate = gateDials(n.loop.transport)
-	_, n.address = serveClients(t, n.loop)
-	return n
+	d := &delayedDisconnect{server: newStub(t, echo), rejecting: newStub(t, respondNotProcessed)}
+	d.loop = newTestLoop(t, d.server.address)
+	d.gate = gateDials(d.loop.transport)
+	_, d.address = serveClients(t, d.loop)
+	return d
 }
 
 // disconnect makes a client disconnect and returns the event that reports it, which has not run yet.
-func (n *delayedDisconnect) disconnect(t *testing.T, c *net.TCPConn, disconnectClient func(*testing.T, *net.TCPConn)) (disconnectEvent func(now time.Duration)) {
+func (d *delayedDisconnect) disconnect(t *testing.T, c *net.TCPConn, disconnectClient func(*testing.T, *net.TCPConn)) (disconnectEvent func(now time.Duration)) {
 	t.Helper()
 	disconnectClient(t, c)
-	return n.loop.takeEvent(t, "the client's disconnect")
+	return d.loop.takeEvent(t, "the client's disconnect")
 }
 
 // delayedDisconnectStages are the stages in which a request may be when its client disconnects. Each function
 // brings a request to that stage, makes its client disconnect, and then does what makes the loop or the
 // transport send the request.
-var delayedDisconnectStages = map[string]func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) (disconnectEvent func(now time.Duration)){
-	"submitted": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.proceed <- true
-		c := sendOnNewConn(t, n.address, rawRequest("gone"))
-		submit := n.loop.takeEvent(t, "the request")
-		disconnectEvent := n.disconnect(t, c, disconnectClient)
-		submit(n.loop.clock.now())
+var delayedDisconnectStages = map[string]func(t *testing.T, d *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) (disconnectEvent func(now time.Duration)){
+	"submitted": func(t *testing.T, d *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
+		d.gate.proceed <- true
+		c := sendOnNewConn(t, d.address, rawRequest("gone"))
+		submit := d.loop.takeEvent(t, "the request")
+		disconnectEvent := d.disconnect(t, c, disconnectClient)
+		submit(d.loop.clock.now())
 		return disconnectEvent
 	},
-	"queued": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.proceed <- true
-		n.loop.updateEndpoints(t, "draining", n.server.address)
-		c := sendOnNewConn(t, n.address, rawRequest("gone"))
-		n.loop.runNextEvent(t)
-		disconnectEvent := n.disconnect(t, c, disconnectClient)
-		n.loop.updateEndpoints(t, "ready", n.server.address)
+	"queued": func(t *testing.T, d *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
+		d.gate.proceed <- true
+		d.loop.updateEndpoints(t, "draining", d.server.address)
+		c := sendOnNewConn(t, d.address, rawRequest("gone"))
+		d.loop.runNextEvent(t)
+		disconnectEvent := d.disconnect(t, c, disconnectClient)
+		d.loop.updateEndpoints(t, "ready", d.server.address)
 		return disconnectEvent
 	},
-	"between attempts": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		n.gate.proceed <- true
-		n.loop.updateEndpoints(t, "ready", n.rejecting.address)
-		c := sendOnNewConn(t, n.address, rawRequest("gone"))
-		n.loop.runNextEvent(t)
-		wait(t, "the first attempt", n.rejecting.receivedRequests)
-		wait(t, "the first dial", n.gate.dials)
-		n.loop.runNextEvent(t) // the server rejects it; it waits for another server
-		n.gate.proceed <- true
-		disconnectEvent := n.disconnect(t, c, disconnectClient)
-		n.loop.updateEndpoints(t, "ready", n.rejecting.address, n.server.address)
+	"between attempts": func(t *testing.T, d *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
+		d.gate.proceed <- true
+		d.loop.updateEndpoints(t, "ready", d.rejecting.address)
+		c := sendOnNewConn(t, d.address, rawRequest("gone"))
+		d.loop.runNextEvent(t)
+		wait(t, "the first attempt", d.rejecting.receivedRequests)
+		wait(t, "the first dial", d.gate.dials)
+		d.loop.runNextEvent(t) // the server rejects the request, which then waits for another server
+		d.gate.proceed <- true
+		disconnectEvent := d.disconnect(t, c, disconnectClient)
+		d.loop.updateEndpoints(t, "ready", d.rejecting.address, d.server.address)
 		return disconnectEvent
 	},
-	"dialing": func(t *testing.T, n *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
-		c := sendOnNewConn(t, n.address, rawRequest("gone"))
-		n.loop.runNextEvent(t)
-		wait(t, "the dial", n.gate.dials)
-		disconnectEvent := n.disconnect(t, c, disconnectClient)
-		n.gate.proceed <- true
+	"dialing": func(t *testing.T, d *delayedDisconnect, disconnectClient func(*testing.T, *net.TCPConn)) func(time.Duration) {
+		c := sendOnNewConn(t, d.address, rawRequest("gone"))
+		d.loop.runNextEvent(t)
+		wait(t, "the dial", d.gate.dials)
+		disconnectEvent := d.disconnect(t, c, disconnectClient)
+		d.gate.proceed <- true
 		return disconnectEvent
 	},
 }
 
-// When CPU is short, the event that a client has disconnected may wait behind many others. Meanwhile its
-// request was sent to a server, once for each disconnected client. To prevent that, the transport checks the
-// client's socket itself before it dials or writes.
+// When CPU is short, the event that a client has disconnected may wait behind many others. Meanwhile the
+// request of each such client used to be sent to a server. To prevent that, the transport checks the client's
+// socket itself before it dials or writes.
 func TestClientDisconnectsWhileLoopIsBehind(t *testing.T) {
 	for name, disconnect := range disconnects {
 		for stage, runStage := range delayedDisconnectStages {
 			t.Run(stage+"/"+name, func(t *testing.T) {
-				n := newDelayedDisconnect(t)
-				disconnectEvent := runStage(t, n, disconnect)
-				n.loop.runNextEvent(t) // the end of the attempt, with the result not sent
-				if len(n.loop.requests) != 0 {
-					t.Errorf("%d requests in the table, want none", len(n.loop.requests))
+				d := newDelayedDisconnect(t)
+				disconnectEvent := runStage(t, d, disconnect)
+				d.loop.runNextEvent(t) // the end of the attempt, as NotSent
+				if len(d.loop.requests) != 0 {
+					t.Errorf("%d requests in the table, want none", len(d.loop.requests))
 				}
-				disconnectEvent(n.loop.clock.now())
-				n.loop.reportDeniedSends()
-				sent := len(n.server.receivedRequests) + len(n.rejecting.receivedRequests)
-				if sent > 0 || stage != "dialing" && len(n.gate.dials) > 0 {
-					t.Errorf("%d requests sent and %d dials for a disconnected client, want none", sent, len(n.gate.dials))
+				disconnectEvent(d.loop.clock.now())
+				d.loop.reportDeniedSends()
+				sent := len(d.server.receivedRequests) + len(d.rejecting.receivedRequests)
+				if sent > 0 || stage != "dialing" && len(d.gate.dials) > 0 {
+					t.Errorf("%d requests sent and %d dials for a disconnected client, want none", sent, len(d.gate.dials))
 				}
 			})
 		}
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// clock measures the time since the Unix epoch, as a time.Duration. Discovery gives the start times of
-// servers in the same terms. After its creation a clock follows the monotonic clock, so it never goes back if
-// the system time is set.
+// clock measures the time since the Unix epoch, as a time.Duration. The start times of servers in endpoint
+// lists count from the Unix epoch too. After its creation a clock follows the monotonic clock, so it never
+// goes back if the system time is set.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -16,8 +16,8 @@
 	"cranehatch/policy"
 )
 
-// Config is the configuration of a sidecar. The names of these values in the configuration file and in the
-// environment appear only in configFile and in Config's methods.
+// Config is the configuration of a sidecar. configFile has the names of these values in the configuration file
+// and in the environment.
 type Config struct {
 	Path      string // path of the configuration file
 	Name      string // name of this sidecar, for the log
@@ -37,7 +37,7 @@
 	Tenants         map[string]int    // tenant index by name; empty if there are no tenants
 	Zones           map[string]int    // zone index by name
 	ReportFormat    loadreport.Format // format of the servers' load reports
-	MaxInFlight     int               // limit on open requests; 0 for no limit
+	MaxInFlight     int               // limit on requests in flight; 0 for no limit
 	MaxDeadline     time.Duration     // the longest deadline of all classes
 	DialTimeout     time.Duration     // timeout of a connection attempt to a server and of a health check
 	CachedEndpoints endpointlist.List // last known endpoint list, possibly stale; used until discovery responds
@@ -46,11 +46,11 @@
 	// connections shortly before that.
 	ServerIdleTimeout time.Duration
 
-	// DrainGrace (drain_grace_ms of a site) is the time after the announcement of a drain within which the
-	// sidecar must stop sending to the draining server; 0 if it is not known. Regardless of this value, the
-	// sidecar stops sending as soon as the update arrives. With a pushed endpoint list, DrainGrace limits how
-	// late the update may arrive: newDiscoveryClient derives the longest backoff and the interval of hedged
-	// calls from it.
+	// DrainGrace (drain_grace_ms in a site's file under deploy/sites) is the time after the announcement of a
+	// drain within which the sidecar must stop sending to the draining server; 0 if it is not known.
+	// Regardless of this value, the sidecar stops sending as soon as the update arrives. With a pushed
+	// endpoint list, DrainGrace limits how late the update may arrive: newDiscoveryClient derives the longest
+	// backoff and the interval of hedged calls from it.
 	DrainGrace time.Duration
 }
 
@@ -111,7 +111,7 @@
 	}
 	var err error
 	if c.CachedEndpoints, err = endpointlist.ParseComplete(file.CachedList, c.Zones); err != nil {
-		slog.Error("parse cached endpoint list failed: starting without it",
+		slog.Error("parse cached endpoint list failed: ignoring the list",
 			"error", &ConfigError{Field: "known", Err: err})
 	}
 }
@@ -158,8 +158,8 @@
 // The file descriptors are divided into fixed shares, so that neither client connections nor server
 // connections can exhaust those that the other needs: half for clients, three eighths for servers, and one
 // eighth for connections that are being closed, discovery, gossip, the listener and the process itself.
-// Clients may hold a third of all descriptors for open requests; their share of half leaves room for idle
-// connections as well.
+// Client connections with a request in flight may take up a third of all descriptors; the share of half leaves
+// room for idle client connections as well.
 
 // maxClientConns returns the limit on open client connections.
 func (c *Config) maxClientConns() int { return c.MaxDescriptors / 2 }
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -59,7 +59,8 @@
 
 // discoveryClient follows the endpoint list at discovery and passes each update to the event loop.
 //
-// serve starts run in a goroutine, which ends with its context. Other goroutines call requestPoll and reload.
+// sidecar.start starts run in a goroutine, which ends with its context. Other goroutines call requestPoll and
+// reload.
 //
 // discovery.go retries after failures and address changes, discovery_follow.go makes the sequence of calls to
 // one address, discovery_hedge.go and discovery_call.go make a single call, and discovery_reload.go changes
@@ -148,7 +149,7 @@
 		}
 		received, err := d.follow(followCtx, address)
 		if followCtx.Err() != nil {
-			continue // the address changed: no call to the new one has failed yet
+			continue // ctx is cancelled, or the address changed and no call to the new one has failed yet
 		}
 		slog.Warn("follow endpoint list failed", "discovery", address, "error", err)
 		d.discardPoll()
--- a/internal/sidecar/discovery_hedge.go
+++ b/internal/sidecar/discovery_hedge.go
@@ -14,10 +14,10 @@
 //
 // Hedging guards against calls that start before discovery is reachable: such a call may never be answered,
 // and a sidecar that waits for it would read a drain too late. A shorter timeout is no alternative, as it
-// would lose slow responses. With a polled list and a new call every 2 s, discovery has 4 s to answer of the
-// 6 s until the sidecar counts as notified. With a pushed list the sidecar counts as notified as soon as
-// discovery is reachable, and each sidecar has its own discovery, so newDiscoveryClient sets a shorter
-// interval.
+// would lose slow responses. With a polled list, the sidecar counts as notified 6 s after discovery is
+// reachable. A new call every 2 s leaves discovery 4 s of these 6 s to answer. With a pushed list the sidecar
+// counts as notified as soon as discovery is reachable, and each sidecar has its own discovery, so
+// newDiscoveryClient sets a shorter interval.
 func (d *discoveryClient) fetch(ctx context.Context, address string, query listQuery) (endpointlist.List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -17,8 +17,8 @@
 )
 
 // eventLoop owns the Balancer, which is single-threaded, and all state of requests and endpoints. A single
-// goroutine, which serve starts, executes run: it runs every event in order of arrival until its context is
-// cancelled. All other code of this package reaches that state only by posting an event.
+// goroutine, which sidecar.start starts, executes run: it runs every event in order of arrival until its
+// context is cancelled. All other code of this package reaches that state only by posting an event.
 //
 // This guarantees without locks that no request gets a second response, and that each attempt has exactly one
 // Outcome.
@@ -29,7 +29,7 @@
 	clock          clock
 	balancer       *policy.Balancer
 	transport      *transport
-	watchEndpoints func()           // has the discovery client request the endpoint list; must not block
+	watchEndpoints func()           // asks the discovery client to poll the endpoint list; must not block
 	peers          *gossipTransport // broadcasts gossip to the other sidecars; nil: no peers or no gossip socket
 	maxAttempts    int              // limit on the attempts of one request
 
@@ -41,7 +41,7 @@
 	now           time.Duration // time of the event being run
 	requests      map[policy.RequestID]*request
 	endpoints     map[policy.EndpointID]*endpoint // the listed endpoints, without removed ones
-	deniedSends   []policy.Outcome                // outcomes of denied sends that are not reported yet
+	deniedSends   []policy.Outcome                // outcomes of denied sends, not reported to the Balancer yet
 	pendingTimers []time.Duration                 // times at which to call TimerFired, ascending, without duplicates
 	timer         *time.Timer                     // expires at the first of pendingTimers
 }
--- a/internal/sidecar/gossip.go
+++ b/internal/sidecar/gossip.go
@@ -17,7 +17,7 @@
 // datagram that cannot be sent is dropped. The methods run, send and counters may be called on a nil
 // transport, which neither sends nor receives.
 //
-// serve starts run in a goroutine, and run starts sendLoop in another; both end with the context of run.
+// sidecar.start starts run in a goroutine, and run starts sendLoop in another. Both end with run's context.
 type gossipTransport struct {
 	conn      *net.UDPConn
 	broadcast netip.AddrPort         // address that forwards a datagram to all peers
@@ -28,7 +28,7 @@
 	lost          atomic.Int64 // datagrams not sent: outgoing was full, or the socket returned an error
 	received      atomic.Int64 // datagrams passed to the handler of run
 	unknownSender atomic.Int64 // datagrams dropped because their source address is not a peer's
-	malformed     atomic.Int64 // datagrams dropped because a peer sent no gossip message of this version
+	malformed     atomic.Int64 // datagrams from peers, dropped because gossip.Decode returned an error
 }
 
 // newGossipTransport opens the UDP socket for gossip. It returns nil if the configuration does not allow
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -85,7 +85,7 @@
 		delete(to, name)
 	}
 	if to[headerUserAgent] == nil {
-		to[headerUserAgent] = nil // present without a value, so that net/http does not add its own
+		to[headerUserAgent] = nil // no value: encode writes none, and net/http's client would not add its own
 	}
 	return to
 }
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -21,7 +21,7 @@
 func (l *eventLoop) Send(id policy.RequestID, to policy.EndpointID, timeout, writeTimeout time.Duration) {
 	r := l.requests[id]
 	if r == nil {
-		return // closed with all attempts ended; the Balancer no longer has it either
+		return // the request is closed and its attempts have ended; the Balancer no longer has it either
 	}
 	attempt := len(r.attempts)
 	r.inFlight++
@@ -38,8 +38,8 @@
 	r.attempts = append(r.attempts, l.transport.send(target, r.outbound, deadline, writeDeadline, attemptDone))
 }
 
-// maySend reports whether a request is open and has attempts and time left, and whether neither time limit is
-// negative, that is, expired.
+// maySend reports whether an attempt may be sent: its request is open and has attempts and time left, and
+// neither of the attempt's time limits has expired (is negative).
 func (l *eventLoop) maySend(r *request, timeout, writeTimeout time.Duration) bool {
 	return !r.closed &&
 		len(r.attempts) < l.maxAttempts &&
@@ -101,7 +101,8 @@
 		l.post(func(now time.Duration) { l.balancer.HealthChecked(now, to, ok, load) })
 	}
 	e := l.endpoints[to]
-	if e == nil { // no longer listed; from a goroutine, as post could deadlock here
+	if e == nil { // no longer listed
+		// checked runs on another goroutine, because post could deadlock on the loop's own.
 		go checked(false, policy.LoadReport{})
 		return
 	}
@@ -124,7 +125,7 @@
 	l.post(func(now time.Duration) { l.balancer.ReceiveGossip(now, from, message) })
 }
 
-// WatchEndpoints has the discovery client request the endpoint list.
+// WatchEndpoints asks the discovery client to poll the endpoint list. It has no effect if the list is pushed.
 func (l *eventLoop) WatchEndpoints() { l.watchEndpoints() }
 
 // Log logs a change in an endpoint's health for the engineers on call.
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -152,14 +152,14 @@
 	defer client.stop()
 	outbound := newOutboundRequest(r, body, client.clientClosed)
 	reply := make(chan response, 1) // buffered, so that the event loop never blocks on a handler
-	number := in.loop.submit(parsed.policy, outbound, deadline, reply)
+	id := in.loop.submit(parsed.policy, outbound, deadline, reply)
 	select {
 	case final := <-reply:
 		return &final
 	case <-r.Context().Done(): // net/http has detected that the client disconnected
 	case <-client.disconnected: // the monitor has detected it, after bytes that net/http does not read
 	}
-	in.loop.clientDisconnected(number)
+	in.loop.clientDisconnected(id)
 	return nil
 }
 
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -291,8 +291,8 @@
 	}
 }
 
-// postEntry sends a non-idempotent request and checks that the response is the one to this request, or says
-// that it has failed. The returned error is that of the connection to the sidecar.
+// postEntry sends a non-idempotent request and checks that the response is the one to this request, or reports
+// a failure. The returned error is that of the connection to the sidecar.
 func postEntry(t *testing.T, client *http.Client, side *runningSidecar, id string) error {
 	t.Helper()
 	res, err := client.Do(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -36,7 +36,7 @@
 
 var errConnRefused = errors.New("connection refused")
 
-// outage is a stand-in of discovery, on synctest's fake clock, that is unreachable for a while. It recovers
+// outage is a stand-in for discovery, on synctest's fake clock, that is unreachable for a while. It recovers
 // at the worst moment: right after a call that came too early and failed. At that moment one of its two
 // servers starts draining.
 type outage struct {
@@ -189,7 +189,7 @@
 		version, o.drainingServer, lifecycle, o.otherServer)
 }
 
-// attemptCounts counts the attempts at each server from the time on at which the drain counts as notified.
+// attemptCounts counts the attempts at each server after the time at which the drain counts as notified.
 type attemptCounts struct {
 	outage        *outage
 	notifiedAfter time.Duration // from the recovery until the drain counts as notified
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -39,7 +39,7 @@
 
 // parsedRequest holds the values of the headers of a valid request.
 type parsedRequest struct {
-	policy  policy.Request // ID and Timeout are set when the event loop accepts the request
+	policy  policy.Request // without ID and Timeout, which eventLoop.submit sets
 	timeout time.Duration  // the client's timeout, from the arrival of the request's head
 }
 
--- a/internal/sidecar/parse_test.go
+++ b/internal/sidecar/parse_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Headers that Connection names are not forwarded. In this way a request reached a server without its ID, or
-// a request that is idempotent by key without its key. Such requests must be rejected.
+// Headers that Connection names are not forwarded. In this way a request used to reach a server without its
+// ID, or a request that is idempotent by key without its key. Such requests must be rejected.
 func TestConnectionHeaderNamingForwardedHeaderIsRejected(t *testing.T) {
 	for connection, valid := range map[string]bool{
 		"close": true, "keep-alive": true, "keep-alive, X-Own": true, "": true, "Upgrade": true,
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// idleTimeoutMargin limits how long before the server's idle timeout a connection expires.
+	// idleTimeoutMargin is the most by which the pool's idle timeout is shorter than the server's.
 	idleTimeoutMargin = time.Second
 	// minConnIdle is how long a connection must have been idle before it is reused: see acquire.
 	minConnIdle = 10 * time.Millisecond
@@ -34,8 +34,8 @@
 	idle        map[*endpoint][]*conn // each server's idle connections, the most recently used last
 	openConns   int                   // connections that are idle, in use or being dialed
 	sweeper     *time.Timer           // runs closeExpired; nil while no sweep is scheduled
-	dialedConns int                   // connections dialed since the start
-	staleConns  int                   // since the start: idle connections found closed or with unrequested bytes
+	dialedConns int                   // dials begun since the start, including failed ones
+	staleConns  int                   // idle connections found closed or with unrequested bytes since the start
 }
 
 func newConnPool(cfg *Config, clk clock) *connPool {
@@ -172,9 +172,9 @@
 // closeIdleBefore closes the connections to a server that have been idle since before cutoff. It is called
 // when an attempt that was written at cutoff has timed out.
 //
-// A machine that is cut off from the network responds on no connection, and requests written on them may have
-// run. Dialing a new connection shows at once whether the machine can be reached. A server that is merely
-// slow keeps the connections on which it has responded since cutoff.
+// A machine that is cut off from the network responds on no connection, and each request written on one would
+// count as possibly run. Dialing a new connection shows, before anything is written, whether the machine can
+// be reached. A server that is merely slow keeps the connections on which it has responded since cutoff.
 func (p *connPool) closeIdleBefore(to *endpoint, cutoff time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -83,8 +83,8 @@
 	expectOpenConns(t, tr, 1)
 }
 
-// A server may close a connection right after a response, and the close may cross a request that is sent soon
-// after. The connection that has been idle longest must therefore be used first.
+// A server may close a connection right after a response, and the close may coincide with a request that is
+// sent soon after. The connection that has been idle longest must therefore be used first.
 func TestOldestIdleConnectionIsUsedFirst(t *testing.T) {
 	bothArrived := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r receivedRequest) bool {
--- a/internal/sidecar/requestboundary.go
+++ b/internal/sidecar/requestboundary.go
@@ -2,8 +2,8 @@
 
 // requestBoundary tracks where requests end in the byte stream of a connection, so that clientConn.Read never
 // returns bytes of two requests at once. Bytes that net/http has buffered can't be inspected; bytes that
-// clientConn still holds can. While draining they decide whether the connection may be closed after a
-// response.
+// clientConn still holds can. While the sidecar is draining, the bytes in clientConn decide whether the
+// connection may be closed after a response.
 //
 // The boundaries need not be exact: bytes that are held back are returned by the next read.
 type requestBoundary struct {
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -27,7 +27,7 @@
 	retryAfter time.Duration // with status 503: when the client should retry; 0: not stated
 }
 
-// submit registers a request and returns its id, which clientDisconnected takes. The ingress calls it on the
+// submit registers a request and returns its id, for clientDisconnected. The ingress calls submit on the
 // goroutine of the client's connection; it blocks as post does. The response is sent to reply, which must be
 // buffered, as the loop must not block.
 func (l *eventLoop) submit(req policy.Request, outbound *outboundRequest, deadline time.Duration, reply chan<- response) policy.RequestID {
--- a/internal/sidecar/result.go
+++ b/internal/sidecar/result.go
@@ -59,7 +59,8 @@
 }
 
 // resultAfterWrite returns the result of an exchange whose request was written but got no complete and
-// well-formed response. After a timeout it also closes the older idle connections to the server.
+// well-formed response. After a timeout of at least the dial timeout it also closes the older idle connections
+// to the server.
 func (t *transport) resultAfterWrite(x *exchange, to *endpoint, writeStart time.Duration, err error) policy.Result {
 	if result, abandoned := x.abandonedResult(); abandoned {
 		return result
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -19,7 +19,7 @@
 type deployment struct {
 	settingsFile string
 	tenant       string           // a tenant that only this deployment has
-	otherName    string           // a class that only the other deployment has
+	otherClass   string           // a class that only the other deployment has
 	wantAttempts map[string]int   // number of attempts of a failing request, by class
 	objectives   map[string]int64 // latency objective in ms, by class; limits the timeout sent to a server
 	drainGrace   time.Duration
@@ -28,12 +28,12 @@
 
 var (
 	pisteDeployment = deployment{
-		settingsFile: "piste.json", tenant: "low", otherName: "lock", maxAttempts: 3, drainGrace: time.Second,
+		settingsFile: "piste.json", tenant: "low", otherClass: "lock", maxAttempts: 3, drainGrace: time.Second,
 		wantAttempts: map[string]int{"view": 3, "update": 3, "order": 1},
 		objectives:   map[string]int64{"view": 10000, "update": 20000, "order": 30000},
 	}
 	deskDeployment = deployment{
-		settingsFile: "desk.json", tenant: "dispatch", otherName: "update", maxAttempts: 2, drainGrace: 400 * time.Millisecond,
+		settingsFile: "desk.json", tenant: "dispatch", otherClass: "update", maxAttempts: 2, drainGrace: 400 * time.Millisecond,
 		wantAttempts: map[string]int{"lock": 1, "view": 1, "log": 2, "plan": 2},
 		objectives:   map[string]int64{"lock": 15000, "view": 12000, "log": 11000, "plan": 13000},
 	}
@@ -114,7 +114,7 @@
 	d.checkAttempts(t, class, stubs)
 
 	for invalid, req := range map[string]*http.Request{
-		"a class of another deployment":  side.newRequest(t, "GET", "/"+d.otherName, "", "X-Tenant-Id", d.tenant),
+		"a class of another deployment":  side.newRequest(t, "GET", "/"+d.otherClass, "", "X-Tenant-Id", d.tenant),
 		"a tenant of another deployment": side.newRequest(t, method, "/"+class, body, append(headers, "X-Tenant-Id", "north")...),
 		"a timeout beyond the class's":   side.newRequest(t, method, "/"+class, body, append(headers, "X-Timeout", "700000m")...),
 	} {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -13,8 +13,8 @@
 	// connection is open.
 	minDrainTime = 500 * time.Millisecond
 
-	// The platform may send SIGKILL this long after SIGTERM: the longest deadline of the classes, but at most
-	// maxKillDeadline, plus killDelay.
+	// The platform may send SIGKILL once this much time has passed since SIGTERM: the smaller of
+	// maxKillDeadline and the longest deadline of the classes, plus killDelay.
 
 	// maxKillDeadline limits how much the longest deadline delays SIGKILL.
 	maxKillDeadline = 3 * time.Second
@@ -32,10 +32,10 @@
 // closed, or maxIdleDrainTime after SIGKILL could have been sent.
 //
 // It guards against a close that coincides with a request: clients send requests on a connection as long as
-// it is open, and a request that arrives after the close is lost, because no process is listening any more to
-// which the client could send it again. Therefore no connection is closed while it waits for a request. Each
-// is closed with its next response (see closeIfDraining), and new connections are accepted throughout. A
-// client that keeps an idle connection open delays the exit, which does no harm because SIGKILL comes first.
+// it is open. A request that arrives after the close is lost: the client cannot send it again, because no
+// process is listening any more. Therefore no connection is closed while it waits for a request. Each is
+// closed with its next response (see closeIfDraining), and new connections are accepted throughout. A client
+// that keeps an idle connection open delays the exit, which does no harm because SIGKILL comes first.
 func (in *ingress) drain(clients *acceptor, server *http.Server, maxDeadline time.Duration) error {
 	slog.Info("draining", "requests_in_flight", in.inFlight.Load())
 	timeUntilKill := min(maxDeadline, maxKillDeadline) + killDelay
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -9,9 +9,9 @@
 	"os"
 )
 
-// Run listens and serves until ctx is cancelled, then drains: it returns once every request accepted by then
-// has its response. Each signal on reload makes it re-read the configuration file. Run closes everything that
-// it opens.
+// Run listens and serves until ctx is cancelled, then drains and returns (see ingress.drain). Each signal on
+// reload makes it read the address of discovery from the configuration file again. The process is expected to
+// exit when Run returns: idle connections to servers and to discovery may still be open then.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal) error {
 	listener, err := listen(ctx, cfg.Listen)
 	if err != nil {
--- a/internal/sidecar/transport.go
+++ b/internal/sidecar/transport.go
@@ -51,8 +51,8 @@
 	body   []byte        // body of the response if Succeeded, else nil
 }
 
-// send starts an attempt. It is abandoned at attemptDeadline, and its request is written before writeDeadline
-// or not at all; a writeDeadline of 0 sets no separate limit.
+// send starts an attempt. The request is written before writeDeadline or not at all; a writeDeadline of 0 sets
+// no separate limit.
 //
 // The attempt runs on a goroutine of its own, which ends at attemptDeadline at the latest, or once the
 // attempt is cancelled. It calls done exactly once, as its last step; nothing else waits for it.
--- a/internal/sidecar/transport_test.go
+++ b/internal/sidecar/transport_test.go
@@ -119,8 +119,8 @@
 	t.Fatal("request was not sent within any of the timeouts")
 }
 
-// Cancelling an attempt must close its connection, which stops the server, and the attempt must still have
-// exactly one result.
+// Cancelling an attempt must close its connection, so that the server can detect the cancellation, and the
+// attempt must still have exactly one result.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, neverRespond)
 	tr := newTestTransport(t)
