--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -20,18 +20,18 @@
 // far from overflow. A later start time is an ErrOutOfRange.
 const maxStartedAtMS = math.MaxInt64 / float64(time.Millisecond) / 2
 
-// List is an endpoint list or a set of changes to it, from one response of discovery. The zero value has no
+// List is a full endpoint list or a delta, from one response of discovery. The zero value has no
 // endpoints.
 type List struct {
 	Version   int64 // version of the endpoint list after this response is applied
-	Complete  bool  // the list has all endpoints; false: only those that changed
+	Full      bool  // full list; false: delta, which has only the endpoints that changed
 	Endpoints []policy.Endpoint
 	Addresses map[policy.EndpointID]string // host:port by endpoint; a removed endpoint may have none
 }
 
 // response is the JSON form of a List. All fields are required, because a response without one may be
 // truncated or not an endpoint list at all. A default value for a missing field could remove all endpoints or
-// keep removed ones. ParseComplete does not require Reset.
+// keep removed ones. Only ParseFull accepts a response without Reset.
 type response struct {
 	Generation *int64  `json:"generation"` // nil: absent
 	Reset      *bool   `json:"reset"`      // nil: absent
@@ -58,20 +58,20 @@
 	return policy.EndpointID(hash.Sum64())
 }
 
-// ParseComplete parses the response to a call that requested all endpoints. The list is complete whether or
-// not the response has "reset" set. In all other respects ParseComplete behaves like Parse.
-func ParseComplete(text []byte, zones map[string]int) (List, error) {
+// ParseFull parses the response to a call that requested the full list. The result is a full list whether or
+// not the response has "reset" set. In all other respects ParseFull behaves like Parse.
+func ParseFull(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, true)
 }
 
-// Parse parses a response, whose field "reset" states whether it has all endpoints. zones maps the names of
-// the configured zones to their numbers. Parse returns an *Error if any entry is malformed: a list without
-// that entry could be taken for complete.
+// Parse parses a response, whose field "reset" states whether it is a full list. zones maps the names of the
+// configured zones to their numbers. Parse returns an *Error if any entry is malformed and does not skip the
+// entry, because a full list reports an endpoint as removed by omitting it.
 func Parse(text []byte, zones map[string]int) (List, error) {
 	return parse(text, zones, false)
 }
 
-func parse(text []byte, zones map[string]int, complete bool) (List, error) {
+func parse(text []byte, zones map[string]int, full bool) (List, error) {
 	var parsed response
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return List{}, &Error{Entry: NoEntry, Err: err}
@@ -84,7 +84,7 @@
 	}
 	list := List{
 		Version:   *parsed.Generation,
-		Complete:  complete || parsed.Reset != nil && *parsed.Reset,
+		Full:      full || parsed.Reset != nil && *parsed.Reset,
 		Addresses: make(map[policy.EndpointID]string),
 	}
 	for i, e := range parsed.Instances {
@@ -93,7 +93,7 @@
 			return List{}, err
 		}
 	}
-	if parsed.Reset == nil && !complete {
+	if parsed.Reset == nil && !full {
 		return List{}, missingField("reset")
 	}
 	return list, nil
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -29,32 +29,32 @@
 	if !slices.Equal(list.Endpoints, want) {
 		t.Errorf("Parse() endpoints = %+v, want %+v", list.Endpoints, want)
 	}
-	if list.Version != 41 || list.Complete || len(list.Addresses) != 3 || list.Addresses[want[1].ID] != "127.0.0.1:81" {
-		t.Errorf("Parse() = %+v, want changes of version 41 with 3 addresses", list)
+	if list.Version != 41 || list.Full || len(list.Addresses) != 3 || list.Addresses[want[1].ID] != "127.0.0.1:81" {
+		t.Errorf("Parse() = %+v, want a delta of version 41 with 3 addresses", list)
 	}
 }
 
-func TestParseCompleteList(t *testing.T) {
+func TestParseFullList(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		parse      func([]byte, map[string]int) (List, error)
 	}{
 		{"no endpoints", `{"generation":0,"reset":true,"instances":[]}`, Parse},
-		{"requested, reset is false", `{"generation":0,"reset":false,"instances":[]}`, ParseComplete},
-		{"requested, no reset", `{"generation":0,"instances":[]}`, ParseComplete},
+		{"requested, reset is false", `{"generation":0,"reset":false,"instances":[]}`, ParseFull},
+		{"requested, no reset", `{"generation":0,"instances":[]}`, ParseFull},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list, err := test.parse([]byte(test.text), nil)
-			if err != nil || !list.Complete || list.Version != 0 || len(list.Endpoints) != 0 {
-				t.Errorf("%+v, error %v, want a complete list of version 0 without endpoints", list, err)
+			if err != nil || !list.Full || list.Version != 0 || len(list.Endpoints) != 0 {
+				t.Errorf("%+v, error %v, want a full list of version 0 without endpoints", list, err)
 			}
 		})
 	}
 }
 
-// Guards against default values for missing fields. A response without instances was taken for a complete
-// list of no endpoints, and every request got a 503. Without lifecycle every endpoint was taken for draining,
-// and without reset a complete list was taken for changes. Each such response must be an error.
+// Guards against default values for missing fields. A response without instances was taken for a full list of
+// no endpoints, and every request got a 503. Without lifecycle every endpoint was taken for draining, and
+// without reset a full list was taken for a delta. Each such response must be an error.
 func TestParseMissingField(t *testing.T) {
 	const usable = `{"instanceId":"s","hostPort":"127.0.0.1:80","lifecycle":"ready"}`
 	for _, test := range []struct {
--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -13,7 +13,8 @@
 	// maxWatchTime is the maximum time for which a watch is kept open.
 	maxWatchTime = 20 * time.Second
 
-	// pollWait is how long a poll for changes asks discovery to wait for one: it is to be answered at once.
+	// pollWait is the maximum wait that a poll for changes requests. It is short, so that discovery answers
+	// practically at once.
 	pollWait = time.Millisecond
 
 	// pollTimeout is the timeout of a poll.
@@ -31,7 +32,7 @@
 type endpointClient struct {
 	sidecar       *simSidecar
 	version       int64 // of the list that the Balancer has, or noVersion
-	requested     bool  // the Balancer has requested the list to be followed
+	requested     bool  // the Balancer has requested to follow the list
 	following     bool  // the client is calling discovery
 	synced        bool  // a call has succeeded since following started
 	watchTimedOut bool  // the last watch got no response
@@ -167,7 +168,7 @@
 	started := s.startCPUTimer()
 	list, err := endpointlist.Parse(response.body, sim.zones)
 	s.addControlCPU(started)
-	if err != nil || !list.Complete && sinceVersion >= 0 && list.Version < c.version {
+	if err != nil || !list.Full && sinceVersion >= 0 && list.Version < c.version {
 		c.version = noVersion
 		c.fail()
 		return
@@ -175,7 +176,7 @@
 	sim.counts.EntriesRead += int64(len(list.Endpoints))
 	sim.addToDigest(digestList, s.index, uint64(list.Version))
 	kind := policy.DeltaUpdate
-	if list.Complete || sinceVersion < 0 {
+	if list.Full || sinceVersion < 0 {
 		kind = policy.FullUpdate
 	}
 	s.recordDrainNotices(list.Endpoints, kind)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -110,7 +110,7 @@
 		return
 	}
 	var err error
-	if c.CachedEndpoints, err = endpointlist.ParseComplete(file.CachedList, c.Zones); err != nil {
+	if c.CachedEndpoints, err = endpointlist.ParseFull(file.CachedList, c.Zones); err != nil {
 		slog.Error("parse cached endpoint list failed: starting without it",
 			"error", &ConfigError{Field: "known", Err: err})
 	}
--- a/internal/sidecar/discovery_call.go
+++ b/internal/sidecar/discovery_call.go
@@ -63,7 +63,7 @@
 	}
 	parse := endpointlist.Parse
 	if query.wantsFullList() {
-		parse = endpointlist.ParseComplete
+		parse = endpointlist.ParseFull
 	}
 	update, err = parse(body, d.zones)
 	if err != nil {
--- a/internal/sidecar/discovery_follow.go
+++ b/internal/sidecar/discovery_follow.go
@@ -84,7 +84,7 @@
 // checkVersion rejects a delta update whose version is lower than the one in the query: discovery has
 // restarted and counts versions from the beginning, so the known version has no meaning to it.
 func checkVersion(update endpointlist.List, query listQuery) error {
-	if update.Complete || query.wantsFullList() || update.Version >= query.sinceVersion {
+	if update.Full || query.wantsFullList() || update.Version >= query.sinceVersion {
 		return nil
 	}
 	return fmt.Errorf("%w: version decreased from %d to %d", errInvalidResponse, query.sinceVersion, update.Version)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -103,8 +103,8 @@
 			wait(t, "the failure", c.failures)
 			continue
 		}
-		if update := wait(t, "an update", c.updates); update.Version != step.version || update.Complete != step.complete {
-			t.Fatalf("call %d: version, complete = %d, %v, want %d, %v", n, update.Version, update.Complete, step.version, step.complete)
+		if update := wait(t, "an update", c.updates); update.Version != step.version || update.Full != step.complete {
+			t.Fatalf("call %d: version, complete = %d, %v, want %d, %v", n, update.Version, update.Full, step.version, step.complete)
 		}
 	}
 	c.expectNoMoreEvents(t)
@@ -343,8 +343,8 @@
 	expectCall("3 ")
 	expectCall("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
-		if update := wait(t, "an update", c.updates); !update.Complete || update.Version != version {
-			t.Errorf("version, complete = %d, %v, want %d, true", update.Version, update.Complete, version)
+		if update := wait(t, "an update", c.updates); !update.Full || update.Version != version {
+			t.Errorf("version, complete = %d, %v, want %d, true", update.Version, update.Full, version)
 		}
 	}
 }
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -12,7 +12,7 @@
 // goroutine. Like post, it may block.
 func (l *eventLoop) handleEndpointUpdate(update endpointlist.List) {
 	kind := policy.DeltaUpdate
-	if update.Complete {
+	if update.Full {
 		kind = policy.FullUpdate
 	}
 	l.post(func(time.Duration) { l.applyEndpoints(update, kind) })
@@ -31,7 +31,7 @@
 // the old one.
 func (l *eventLoop) applyEndpoints(update endpointlist.List, kind policy.UpdateKind) {
 	previous := maps.Clone(l.endpoints)
-	if update.Complete {
+	if update.Full {
 		clear(l.endpoints)
 	}
 	for _, entry := range update.Endpoints {
--- a/internal/sidecar/endpoints_test.go
+++ b/internal/sidecar/endpoints_test.go
@@ -121,7 +121,7 @@
 		t.Errorf("endpoints after the removal = %v, want none", l.endpoints)
 	}
 	l.applyEndpoints(moved, policy.DeltaUpdate)
-	l.applyEndpoints(endpointlist.List{Complete: true}, policy.FullUpdate)
+	l.applyEndpoints(endpointlist.List{Full: true}, policy.FullUpdate)
 	if len(l.endpoints) != 0 {
 		t.Errorf("endpoints after an empty full list = %v, want none", l.endpoints)
 	}
--- a/internal/sidecar/eventloop.go
+++ b/internal/sidecar/eventloop.go
@@ -95,7 +95,7 @@
 func (l *eventLoop) start(cached endpointlist.List) {
 	l.now = l.clock.now()
 	l.balancer.Start(l.now)
-	cached.Complete = true
+	cached.Full = true
 	l.applyEndpoints(cached, policy.CachedUpdate)
 }
 
