--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(body) > 0 {
-		return fmt.Errorf("%w: %d", simprotocol.ErrTrailingBytes, len(body))
+		return fmt.Errorf("%w: %d bytes", simprotocol.ErrTrailingBytes, len(body))
 	}
 	return nil
 }
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -183,7 +183,7 @@
 func TestMalformedInputEndsWithAnError(t *testing.T) {
 	started := instanceStarted(1, 5, exampleSettings)
 	trailing := append(batch(1, 0), 1, 2, 3)
-	trailing[8] = 3 // the size of the body in the frame header
+	trailing[8] = 3 // the size of the body in the batch header
 	for _, test := range []struct {
 		name  string
 		input []byte
--- a/cmd/simadapter/helpers_test.go
+++ b/cmd/simadapter/helpers_test.go
@@ -157,7 +157,7 @@
 	return all
 }
 
-// actionsOf returns the actions that have a code and are of an instance.
+// actionsOf returns the actions of an instance that have the given code.
 func actionsOf(all []action, code simprotocol.ActionCode, instance uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool { return a.code != code || a.instance != instance })
 }
--- a/internal/fleetsim/config.go
+++ b/internal/fleetsim/config.go
@@ -128,10 +128,10 @@
 func (c *Config) validate() error {
 	switch {
 	case c.Sidecars < 1 || c.Servers < 1 || c.Zones < 1 || c.FirstZone < 0 || c.Regions < 1 || c.Regions > c.Zones:
-		return fmt.Errorf("fleetsim: invalid topology: %d sidecars, %d servers, %d zones, first zone %d, %d regions",
+		return fmt.Errorf("fleetsim: invalid topology: %d sidecars, %d servers, %d zones, first zone %d, %d regions; want at least 1 of each, first zone at least 0, no more regions than zones",
 			c.Sidecars, c.Servers, c.Zones, c.FirstZone, c.Regions)
 	case c.Server.Cores < 1 || c.Server.ServiceTime <= 0:
-		return fmt.Errorf("fleetsim: invalid server config: %d cores, service time %v",
+		return fmt.Errorf("fleetsim: invalid server config: %d cores, service time %v; want at least 1 core and a positive service time",
 			c.Server.Cores, c.Server.ServiceTime)
 	case c.EndpointID != nil && c.Discovery != nil:
 		return errors.New("fleetsim: EndpointID and Discovery are mutually exclusive")
--- a/internal/fleetsim/discovery.go
+++ b/internal/fleetsim/discovery.go
@@ -31,8 +31,8 @@
 
 	entries   []string               // JSON entry of each server
 	states    []policy.EndpointState // state of each server
-	changeLog []int                  // servers in the order of their changes: change v-1 creates version v
-	responses map[int64]listResponse // for the current list, by the version that the caller has
+	changeLog []int                  // server index of each change; the change at v-1 created version v
+	responses map[int64]listResponse // cached responses with the current list, by the version that the caller has
 
 	queue      []*listCall // calls to be processed
 	processing bool        // whether a call is being processed
--- a/internal/fleetsim/faults_test.go
+++ b/internal/fleetsim/faults_test.go
@@ -21,7 +21,7 @@
 	// the running servers and at most all servers, and then the changes.
 	changes := int64(running * 2 * failed)
 	if c.EntriesRead < changes+failed*running || c.EntriesRead > changes+failed*(100+2*failed) {
-		t.Errorf("sidecars read %d entries, want at least %d and only the changes besides the full lists",
+		t.Errorf("sidecars read %d entries, want at least %d, and at most all changes and a full list for each restarted sidecar",
 			c.EntriesRead, changes+failed*running)
 	}
 	if times := sim.PropagationTimes(); len(times) != 2*failed || maxDuration(times) > 5*time.Second {
@@ -74,7 +74,7 @@
 }
 
 // Servers restart with a tenth of their capacity. If each of 300 sidecars sent them only one request at a
-// time, the requests of all sidecars together could still exceed the slow-start budget.
+// time, the requests of all sidecars together could still exceed the slow-start budget, which must not happen.
 func TestSlowStartLimitsNewServers(t *testing.T) {
 	cfg := testConfig(0, 300, 2)
 	cfg.Servers, cfg.Policy.SlowStartFraction, cfg.Policy.OverloadFactor = 12, 0.1, 1.2
--- a/internal/fleetsim/golden_test.go
+++ b/internal/fleetsim/golden_test.go
@@ -34,7 +34,7 @@
 	hash              hash.Hash64
 	callCounts        [goldenCallCount]int
 	recordedBalancers []*policy.Balancer // by sidecar: the Balancer whose calls are recorded
-	initialList       []policy.Endpoint  // that sidecars have at the start of the simulation; nil afterwards
+	initialList       []policy.Endpoint  // list that sidecars have at the start of the simulation; nil afterwards
 }
 
 // recordingHost is a Host that records the calls of a Balancer and passes them to its sidecar.
--- a/internal/fleetsim/invariants_test.go
+++ b/internal/fleetsim/invariants_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// invariantViolations violate each invariant once, in each way that the simulation has to detect.
+// invariantViolations are the ways of violating an invariant that the simulation has to detect.
 var invariantViolations = []struct {
 	name      string
 	invariant Invariant
@@ -66,7 +66,7 @@
 	}},
 }
 
-// Without this check, a simulation could miss violations and every other test would still pass. Each case
+// Guards against a simulation that misses violations, with which every other test would still pass. Each case
 // violates one invariant once, and the simulation must record exactly that violation.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	for _, test := range invariantViolations {
--- a/internal/fleetsim/parallel.go
+++ b/internal/fleetsim/parallel.go
@@ -3,9 +3,9 @@
 import "sync"
 
 // RunAll calls simulate once for each service, with the index and the size of the service, and makes at most
-// parallel calls concurrently. It then passes the results to collect in the order of the services. If a
-// service fails, RunAll returns the error of the first such service and does not collect the results from
-// that service on. The results do not depend on parallel.
+// parallel calls concurrently. It then passes the results to collect in the order of the services. If calls
+// fail, RunAll collects only the results before the first failed one and returns the error of that one. The
+// results do not depend on parallel.
 func RunAll[T any](sizes []int, parallel int, simulate func(service, size int) (T, error), collect func(T)) error {
 	results, errs := make([]T, len(sizes)), make([]error, len(sizes))
 	var workers sync.WaitGroup
--- a/internal/fleetsim/propagation.go
+++ b/internal/fleetsim/propagation.go
@@ -61,7 +61,7 @@
 }
 
 // discoveryBecameReachable records that discovery has become reachable from the selected zones. It restarts
-// the measurement of pending changes, because their sidecars could not receive them before.
+// the measurement of pending changes, because sidecars in these zones could not receive them before.
 func (sim *Simulation) discoveryBecameReachable(selected func(zone int) bool) {
 	for zone := range sim.discoveryReachableSince {
 		if selected(zone) {
--- a/internal/fleetsim/scale_test.go
+++ b/internal/fleetsim/scale_test.go
@@ -59,7 +59,7 @@
 	err              error
 }
 
-// add adds the result of a service. Of its violation details, it keeps only the first.
+// add adds the result of a service. It keeps only the first violation detail of each service.
 func (f *fleetResult) add(service fleetResult) {
 	f.counts.Add(&service.counts)
 	for i, count := range service.violations.Counts {
--- a/internal/fleetsim/simulation_test.go
+++ b/internal/fleetsim/simulation_test.go
@@ -28,8 +28,7 @@
 	}
 }
 
-// Each message must be counted once: the other side receives what one side sends, unless the network loses
-// it.
+// Each message must be counted once by its sender and, unless the network loses it, once by its recipient.
 func TestMessageCountsAddUp(t *testing.T) {
 	cfg := testConfig(1, 100, 2)
 	sim := newSimulation(t, cfg)
@@ -39,7 +38,7 @@
 	sim.Run(30 * time.Second)
 	c := sim.Counts()
 	if c.Attempts.Sent != c.ServerAttempts.Received || c.ServerAttempts.Sent.Messages < c.Attempts.Received.Messages || c.Attempts.Received.Messages == 0 {
-		t.Errorf("sidecars: %+v; servers: %+v; want each attempt received by a server and no response without one sent",
+		t.Errorf("sidecars: %+v; servers: %+v; want each attempt received by a server, and no more responses received than sent",
 			c.Attempts, c.ServerAttempts)
 	}
 	if c.Requests != c.WithinObjective+c.ObjectiveMissed+c.Rejected+c.Failed {
@@ -104,7 +103,7 @@
 			cfg := testConfig(0, 6, 1)
 			test.change(&cfg)
 			if _, err := New(cfg); err == nil {
-				t.Error("New returned no error")
+				t.Error("New() error = nil, want an error")
 			}
 		})
 	}
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -58,7 +58,7 @@
 	return format
 }
 
-// Fields returns the set of fields that the columns of the format name.
+// Fields returns the set of LoadReport fields that the columns of the format map to.
 func (f Format) Fields() policy.ReportFields {
 	var all policy.ReportFields
 	for _, c := range f.columns {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,8 +5,9 @@
 	"fmt"
 )
 
-// ErrInvalidCount is wrapped by the ValueError for a count that is negative, fractional or above maxCount.
-var ErrInvalidCount = errors.New("must be a whole number in the allowed range")
+// ErrInvalidCount is wrapped by the ValueError for a count that is negative, fractional or above maxCount. Its
+// message states maxCount.
+var ErrInvalidCount = errors.New("must be a whole number from 0 to 65536")
 
 // ValueError reports a setting whose value cannot be converted or used.
 type ValueError struct {
--- a/internal/sidecarbench/load.go
+++ b/internal/sidecarbench/load.go
@@ -27,7 +27,7 @@
 	Targets     []string      // addresses, used in round-robin order
 	Rate        float64       // requests per second
 	Requests    int           // number of requests
-	MaxInFlight int           // maximum number of concurrent requests; latency includes the wait of others
+	MaxInFlight int           // maximum number of concurrent requests; latency includes the wait for a free slot
 	Timeout     time.Duration // timeout of each request
 	IDPrefix    string        // prefix of the request IDs, unique among concurrent loads
 }
--- a/internal/sidecarbench/standin.go
+++ b/internal/sidecarbench/standin.go
@@ -51,9 +51,9 @@
 	control  *http.ServeMux // handler of the control interface
 }
 
-// RunStandIn runs the stand-in for a role until reading from in reaches end of file. As in is a pipe from the
-// process that started this one, so the stand-in ends no later than that process. RunStandIn returns an error if
-// the stand-in cannot start.
+// RunStandIn runs the stand-in for a role until reading from in reaches end of file. Because in is a pipe from
+// the process that started this one, the stand-in ends no later than that process. RunStandIn returns an error
+// if the stand-in cannot start.
 func RunStandIn(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	runtime.GOMAXPROCS(standInMaxProcs)
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/sidecarbench/testbed.go
+++ b/internal/sidecarbench/testbed.go
@@ -133,8 +133,8 @@
 		return err
 	}
 	cost.ListBytes = discoveryCounts.BytesSent
-	// When the sidecar watches, the endpoint list is in the queue of its event loop. The loop handles a
-	// request that arrives now after the list.
+	// When the sidecar watches, the endpoint list is in the queue of its event loop. A request that
+	// is sent now is handled after the list.
 	if err = tb.sendFirstRequest(ctx, timeout); err != nil {
 		return err
 	}
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -27,7 +27,7 @@
 	// maxBatchLen is the maximum size of a batch's body. Real batches reach a few megabytes; a larger
 	// declared size indicates a corrupt stream.
 	maxBatchLen = 1 << 28
-	// readChunkLen is the maximum that is allocated ahead of the bytes received.
+	// readChunkLen is the maximum number of bytes by which the buffer grows ahead of the bytes received.
 	readChunkLen = 1 << 20
 )
 
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -117,10 +117,10 @@
 	r.endAction(start)
 }
 
-// Log writes a line to the simulator's report. A message above maxTextLen is truncated.
+// Log writes a line to the simulator's report. A message longer than maxTextLen is truncated.
 func (r *Reply) Log(instance uint32, message string) { r.text(ActionLog, instance, message) }
 
-// Fault reports that the instance has failed and stopped. A message above maxTextLen is truncated.
+// Fault reports that the instance has failed and stopped. A message longer than maxTextLen is truncated.
 func (r *Reply) Fault(instance uint32, message string) { r.text(ActionFault, instance, message) }
 
 func (r *Reply) text(code ActionCode, instance uint32, text string) {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -8,7 +8,7 @@
 
 // Bounds of the checks. They follow from the platform's rules.
 const (
-	// Added to each time limit: times are observed at the other end of a socket.
+	// Added to each time limit, because the checks use times observed at the other end of a socket.
 	timingTolerance = 50 * time.Millisecond
 	// A request must be answered at most this long after its timeout.
 	responseGrace = 500 * time.Millisecond
@@ -22,7 +22,7 @@
 	maxReadyDelay = 10 * time.Second
 	// A connection without an open request may be closed once it has been idle for this long.
 	minIdleClose = 2 * time.Second
-	// A request that is sent later than this after SIGTERM must be answered before SIGKILL.
+	// A request that is sent later than this after SIGTERM must be answered before SIGKILL, whatever its timeout.
 	shutdownResponseDelay = 700 * time.Millisecond
 
 	// The fraction of requests that are served is checked in windows of this length.
@@ -68,7 +68,7 @@
 		c.addFinding("ready", j.readyAt, "ready after %v", took)
 	}
 	if j.killedAt.IsZero() && (j.exitedAt.Before(j.terminatedAt) || j.exitError != nil) {
-		c.addFinding("exit", j.exitedAt, "exited (error: %v), SIGTERM at %d ms",
+		c.addFinding("exit", j.exitedAt, "process exited with error %v, SIGTERM sent at %d ms",
 			j.exitError, j.terminatedAt.Sub(j.readyAt).Milliseconds())
 	}
 	if j.peakUsage.descriptors > c.plan.MaxDescriptors {
@@ -76,7 +76,7 @@
 			j.peakUsage.descriptors, c.plan.MaxDescriptors)
 	}
 	if j.peakUsage.memoryKB > memoryLimitMB<<10 {
-		c.addFinding("memory", j.readyAt, "%d KB resident, above the limit", j.peakUsage.memoryKB)
+		c.addFinding("memory", j.readyAt, "%d KB of resident memory, above memory_mb of the configuration", j.peakUsage.memoryKB)
 	}
 }
 
@@ -108,7 +108,9 @@
 	}
 }
 
-// checkAnswered checks that a request was answered in time, unless it need not be answered.
+// checkAnswered checks that a request was answered in time. A request may remain unanswered only if it was
+// sent after the process ended or was still open when SIGKILL came; addUnanswered excuses closed idle
+// connections.
 //
 // Responses come in the order of the requests, so the timeout of a pipelined request counts from the response
 // to the previous request. If that response is missing, the check reports only the previous request.
@@ -139,15 +141,15 @@
 	}
 }
 
-// addUnanswered records that a request got no response, unless the close of its connection may have crossed
-// the request. The sidecar may close connections that have been idle for a time, and any idle connection
-// during a flood of idle clients.
+// addUnanswered records that a request got no response, unless the sidecar may have closed the connection
+// before the request arrived. The sidecar may close a connection that has been idle for minIdleClose, and any
+// idle connection during a flood of idle clients.
 func (c *checker) addUnanswered(r *clientRequest, why string) {
 	closedAtOnce := !r.endedAt.IsZero() && r.endedAt.Sub(r.sentAt) < c.tolerance
 	if closedAtOnce && (c.plan.IdleFlood || r.idleBefore > minIdleClose-c.tolerance) {
 		return
 	}
-	c.addFinding("missing response", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s): %s after %v",
+	c.addFinding("missing response", r.sentAt, "request %s (class %s, timeout %v, connection %d) got no response (%s); connection error %q, %v after the request was sent",
 		r.id, r.class, r.timeout, r.connection, why, r.failure, r.endedAt.Sub(r.sentAt))
 }
 
@@ -183,6 +185,7 @@
 
 // checkRepeat checks that an attempt was permitted after an earlier attempt that may have run.
 func (c *checker) checkRepeat(first, repeat *attempt) {
+	// newServer assigns zones and cells by the same rules.
 	zone := func(a *attempt) int { return a.server % 2 }
 	cell := func(a *attempt) int { return a.server % 3 }
 	switch {
@@ -221,8 +224,8 @@
 	}
 }
 
-// checkSlowStarts checks that no server in slow start is overloaded, given its share of the quota, once the
-// sidecar was notified of the start.
+// checkSlowStarts checks that the sidecar does not overload a server in slow start once it was notified of the
+// start. It takes an equal share of the quota as the full capacity of each server.
 func (c *checker) checkSlowStarts() {
 	if !c.plan.SlowStart {
 		return
@@ -269,8 +272,8 @@
 // checkListCalls checks that the first call after a change of discovery requests the full list.
 func (c *checker) checkListCalls() {
 	for i, call := range c.journal.listCalls {
-		otherBefore := i > 0 && c.journal.listCalls[i-1].discovery != call.discovery
-		if otherBefore && call.query != "" && !c.requestedFullList(call, c.journal.listCalls[:i]) {
+		discoveryChanged := i > 0 && c.journal.listCalls[i-1].discovery != call.discovery
+		if discoveryChanged && call.query != "" && !c.requestedFullList(call, c.journal.listCalls[:i]) {
 			c.addFinding("first discovery call", call.at, "first call to discovery %d after a change had query %q, want the full list (no query)",
 				call.discovery, call.query)
 		}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -99,9 +99,9 @@
 	return ready
 }
 
-// changesSince returns the total number of changes, the current state of each server that changed in the
-// changes from the given index on, and a channel that is closed at the next change. If index is negative, it
-// returns the current state of all listed servers.
+// changesSince returns the number of changes so far, the current state of each server that the changes from
+// index on affect, and a channel that is closed at the next change. If index is negative, it returns the
+// current state of all listed servers instead.
 func (l *endpointList) changesSince(index int) (total int, entries []endpointChange, next <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,9 +123,9 @@
 	return len(l.changes), entries, l.nextChange
 }
 
-// markNotified records that an endpoint list was written to the sidecar. The withdrawals and starts that it
-// reports count as notified from now on: those in its entries, or for a full list those in the first count
-// changes, because a full list reports a removal by omitting the server.
+// markNotified records that an endpoint update was written to the sidecar. All withdrawals and starts that the
+// update reports count as notified from now on. A delta reports those in its entries. A full list, which
+// reports a removal by omitting the server, reports those in the first count changes.
 func (l *endpointList) markNotified(count int, full bool, entries []endpointChange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/journal.go
+++ b/internal/soak/journal.go
@@ -39,7 +39,7 @@
 	server         int
 	withdrawnAt    time.Time // when the endpoint list changed
 	notifiedAt     time.Time // when discovery wrote the change to the sidecar; zero: not yet
-	notifyDeadline time.Time // from then on it counts as notified in any case; zero: did not pass within the run
+	notifyDeadline time.Time // when it counts as notified even if it was not written; zero: not within the run
 	returnedAt     time.Time // when the server was listed as ready again; zero: not within the run
 }
 
@@ -97,7 +97,7 @@
 	cpuTime      time.Duration // used by the process
 
 	// Times in which faults excuse a low served fraction: less than half of the servers were healthy or discovery
-	// was not reachable, or this was so less than recoveryGrace before.
+	// was not reachable, at that time or less than recoveryGrace earlier.
 	impaired []interval
 	log      string // of the sidecar
 }
