--- a/policy/admission.go
+++ b/policy/admission.go
@@ -24,7 +24,7 @@
 }
 
 // admission sheds load. Bulkheads bound each balancer alone: when endpoints lack capacity, the
-// slots of thousands of balancers with little traffic each exceed what the endpoints can serve in
+// slots of thousands of balancers with little traffic add up to more than the endpoints can serve in
 // time, and the endpoints spend their work on late responses. So each balancer admits little more
 // than was recently answered in time: requests of the highest priority first, and those of lower
 // priorities from the remainder. Every admitted request that is answered in time raises this
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -103,9 +103,10 @@
 	b.setTimer(now, idleTimerInterval)
 }
 
-// Request handles a new client request. It is answered exactly once before its Timeout has passed:
-// by an Outcome with Answered set, or by Host.Reject or Host.Fail. A request with an ID that is in
-// use is ignored; an invalid request is rejected.
+// Request handles a new client request. Unless its client disconnects, it is answered exactly once:
+// by an Outcome with Answered set, or by Host.Reject or Host.Fail, which are called no later than at
+// the first timer after its Timeout. A request with an ID that is in use is ignored; an invalid
+// request is rejected.
 func (b *Balancer) Request(now time.Duration, req Request) {
 	if _, inUse := b.requests[req.ID]; inUse {
 		return
@@ -148,8 +149,8 @@
 }
 
 // dispatchLate dispatches a request whose response is expected after its attempt deadline. Such a
-// request must not take capacity from others: it is not queued, and under congestion it is
-// rejected.
+// request must not take capacity from others: it is rejected under congestion, or if it cannot be
+// sent at once. Its attempt may last until the client gives up.
 func (b *Balancer) dispatchLate(now time.Duration, r *request) {
 	r.attemptDeadline = r.deadline
 	if b.congested(now) || !b.dispatch(now, r) {
@@ -244,7 +245,8 @@
 }
 
 // expireRequest rejects or fails a request at its deadline. A request without an attempt in flight
-// is ended earlier, as soon as another attempt is not allowed or its response would be late.
+// is ended earlier, as soon as its deadline is near, another attempt is not allowed or the response
+// would be late.
 func (b *Balancer) expireRequest(now time.Duration, r *request) {
 	if r.streaming {
 		return
@@ -256,7 +258,8 @@
 	}
 }
 
-// setNextTimer sets the timer that is needed even if no other event occurs.
+// setNextTimer sets the next timer: after a short interval while requests are open, a longer one
+// otherwise, and earlier if idle connections have to be closed again before then.
 func (b *Balancer) setNextTimer(now time.Duration) {
 	if len(b.openRequests) > 0 {
 		b.setTimer(now, activeTimerInterval)
--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -14,8 +14,9 @@
 	// slotDeviations is the margin of the slots over the mean number of attempts in flight, in
 	// standard deviations, so that random variation alone causes no rejections.
 	slotDeviations = 2.0
-	// slotsPerEndpoint is the number of attempts in flight over all balancers that is assumed for
-	// each ready endpoint of the largest endpoint list so far if quotas are unknown.
+	// slotsPerEndpoint is the number of attempts in flight, over all balancers, that is assumed for
+	// each endpoint if quotas are unknown. The endpoints are counted by the highest number of ready
+	// ones so far.
 	slotsPerEndpoint = 3.0
 	// queuePerSlot is the number of queue places for each slot: just enough to keep the slots in use.
 	queuePerSlot = 0.15
@@ -159,9 +160,9 @@
 }
 
 // serveQueue dispatches the requests of one priority in a queue as far as possible, and returns the
-// next lower priority in the queue, or noPriority. Retries of a lower priority are dispatched
-// together with the first requests behind them. A retry that no endpoint can take does not block
-// the requests behind it.
+// next lower priority in the queue, or noPriority. Retries of a lower priority, which are at the
+// front of the queue, are dispatched as well. A retry that no endpoint can take does not block the
+// requests behind it.
 func (b *Balancer) serveQueue(now time.Duration, h *bulkhead, priority float64) float64 {
 	if highest := h.maxPriority(); highest < priority {
 		return highest
--- a/policy/bulkhead_test.go
+++ b/policy/bulkhead_test.go
@@ -47,9 +47,9 @@
 			cfg := testConfig()
 			cfg.Slots, cfg.Balancers = 0, balancers
 			b, _ := start(t, cfg, ready(1))
-			fleet := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
-			if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > fleet {
-				t.Errorf("slots = %d, want 2 to %.0f", b.bulkheads.slots, fleet)
+			maxSlots := 100*1*slotObjectiveFraction + 2*slotDeviations*math.Sqrt(100*slotObjectiveFraction) + 2
+			if b.bulkheads.slots < 2 || float64(b.bulkheads.slots) > maxSlots {
+				t.Errorf("slots = %d, want 2 to %.0f", b.bulkheads.slots, maxSlots)
 			}
 			if b.FreeSlots(0) < b.FreeSlots(1) || b.FreeQueue(1) < 1 {
 				t.Errorf("tenants have %d and %d slots, tenant 1 a queue of %d; want no fewer slots for tenant 0, and a queue",
@@ -235,8 +235,8 @@
 }
 
 // Without quotas, the slots depend on the number of endpoints. They were set once, by the first endpoint list
-// that was not empty. If that list was outdated, or came while most endpoints were missing, the slots stayed
-// at a fraction permanently.
+// that was not empty. If that list was outdated, or came while most endpoints were missing, there were too
+// few slots permanently.
 func TestBulkheadsGrowWithEndpointList(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.Slots = nil, 0
--- a/policy/clientretry.go
+++ b/policy/clientretry.go
@@ -33,9 +33,9 @@
 	c.unserved = append(c.unserved, unservedRequest{r.class, r.bulkhead, r.key, r.firstTryAt, now})
 }
 
-// firstTryStart returns when the first try of a client retry began. It is the first try of the
-// latest unserved request of the same class, tenant and key, as most clients retry at once. Without
-// such a request, the retry counts as a first try.
+// firstTryStart returns when the first try of a client retry began. The retry is assumed to repeat
+// the latest unserved request of the same class, tenant and key, as most clients retry at once, and
+// that request is no longer kept. Without such a request, the retry counts as a first try.
 func (c *clientRetries) firstTryStart(now time.Duration, r *request) time.Duration {
 	for i := len(c.unserved) - 1; i >= 0; i-- {
 		candidate := c.unserved[i]
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// congestedFraction is the fraction of the latency objective that responses of
-	// congested endpoints take. Its square is the congestion threshold.
+	// congestedFraction is the latency, as a fraction of the latency objective, above which endpoints
+	// count as congested. Its square is the congestion threshold.
 	congestedFraction = 0.3
 
 	// unloadedThresholdFactor applies where responses take a large part of the
@@ -14,21 +14,21 @@
 	// the square of that part.
 	unloadedThresholdFactor = 8.0
 
-	// maxCongestedFraction bounds that threshold: its square is the highest value.
+	// maxCongestedFraction bounds the threshold set by unloadedThresholdFactor: the threshold is at
+	// most the square of this fraction.
 	maxCongestedFraction = 0.42
 
 	// uncongestedPerEndpoint is the number of concurrent requests that every
 	// endpoint is assumed to serve without congestion.
 	uncongestedPerEndpoint = 1.7
 
-	// uncongestedQuotaFactor estimates the same number from the quotas: it is this
-	// multiple of the requests in flight at an endpoint while traffic is at the
-	// quotas and responses take the unloaded latency.
+	// uncongestedQuotaFactor estimates, from the quotas, how many concurrent requests an endpoint
+	// serves without congestion. The estimate is this multiple of the requests in flight at an
+	// endpoint while traffic is at the quotas and responses take the unloaded latency.
 	uncongestedQuotaFactor = 1.5
 
-	// concurrencyLimitTolerance is the factor by which the congestion that reduces
-	// the limit over all attempts exceeds the congestion that reduces the limit of
-	// a single endpoint.
+	// concurrencyLimitTolerance is how many times as much congestion it takes to reduce the limit
+	// over all attempts as to reduce the limit of a single endpoint.
 	concurrencyLimitTolerance = 1.7
 
 	// unloadedSamples is the number of responses in a mean latency. With fewer, the
@@ -113,11 +113,10 @@
 	return b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare)) < 1
 }
 
-// concurrencyLimit returns how many attempts this balancer may have in flight,
-// at least 1. Without gossip, these are its slots, reduced by congestion. With
-// gossip, congestion reduces the slots of all balancers together, and this
-// balancer may use a part of them according to its share of the demand, up to
-// its own slots.
+// concurrencyLimit returns how many attempts this balancer may have in flight, at least 1. Without
+// gossip, the limit is the number of its slots, reduced by congestion. With gossip, congestion
+// reduces the slots of all balancers together, and the limit is this balancer's share of them,
+// according to its share of the demand, up to its own slots.
 func (b *Balancer) concurrencyLimit(now time.Duration) float64 {
 	slots := float64(b.bulkheads.slots)
 	fraction := b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare) / concurrencyLimitTolerance)
--- a/policy/config.go
+++ b/policy/config.go
@@ -46,7 +46,7 @@
 // Tenant is one customer with a share of the service.
 type Tenant struct {
 	Weight float64 // share of the service, relative to the weights of the other tenants
-	Quota  float64 // requests per second within its share, over all balancers; 0: unknown
+	Quota  float64 // requests per second over all balancers that its share covers; 0: unknown
 }
 
 // RetryBudget limits retries, that is attempts after a request's first. Any Interval has at most
@@ -75,13 +75,15 @@
 	ClientsMarkRetries bool          // clients mark their retries: see Request.ClientRetry
 
 	RetryBudget      RetryBudget   // zero value: no limit
-	OrderingDelay    time.Duration // blocks a key this long after an attempt that may still be running
-	IdleCloseTimeout time.Duration // limit for closing idle connections to a draining endpoint; 0: not closed
+	OrderingDelay    time.Duration // how long a key is blocked after an attempt that may still be running
+	IdleCloseTimeout time.Duration // time limit to close idle connections to draining endpoints; 0: not closed
 
 	EventInterval time.Duration // minimum time between events
 
-	PollsEndpoints bool          // the endpoint list must be polled
-	PollInterval   time.Duration // time without a poll after which a change counts as notified; 0: unknown
+	PollsEndpoints bool // the endpoint list must be polled
+	// Time without a poll after which the balancer counts as notified of a change, even if it has
+	// not read it; 0: unknown.
+	PollInterval time.Duration
 
 	SlowStartFraction float64       // fraction of its capacity that an endpoint has when it starts
 	SlowStartDuration time.Duration // time from its start until an endpoint has its full capacity
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// findOrAdd returns the endpoint with the given ID. It adds the endpoint if it
-// is not listed yet.
+// findOrAdd returns the endpoint with the given ID. It adds the endpoint if it is not listed yet;
+// the caller must then set its ID, by which the set is ordered.
 func (s *endpointSet) findOrAdd(id EndpointID) *endpoint {
 	i, found := s.search(id)
 	if !found {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -6,14 +6,12 @@
 )
 
 const (
-	// broadcastInterval is the mean time between two broadcast rounds, in mean
-	// latency objectives: one response within the objective is broadcast before the
-	// next.
+	// broadcastInterval is the mean time between two broadcast rounds, in mean latency objectives. A
+	// response is thus usually broadcast within one latency objective.
 	broadcastInterval = 1.0
 
-	// idleBroadcastRounds is the number of consecutive rounds without responses to
-	// report of which only one broadcasts a message, to show that the balancer is
-	// running.
+	// While it has no responses to report, a balancer broadcasts only in the first of every
+	// idleBroadcastRounds rounds, to show that it is running.
 	idleBroadcastRounds = 4
 
 	// peerRateLifetime is how long the request rate in a peer's message is used, in
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -39,8 +39,9 @@
 			m := valid
 			c.edit(&m)
 			b.ReceiveGossip(now, c.from, m)
-			if n := b.Counters(); n.GossipDropped != 1 || n.GossipReceived != 0 {
-				t.Errorf("GossipDropped, GossipReceived = %d, %d, want 1, 0", n.GossipDropped, n.GossipReceived)
+			if counters := b.Counters(); counters.GossipDropped != 1 || counters.GossipReceived != 0 {
+				t.Errorf("GossipDropped, GossipReceived = %d, %d, want 1, 0",
+					counters.GossipDropped, counters.GossipReceived)
 			}
 		})
 	}
@@ -51,8 +52,9 @@
 		older := valid
 		older.SentAt -= ms
 		b.ReceiveGossip(now, 1, older)
-		if n := b.Counters(); n.GossipReceived != 1 || n.GossipDropped != 2 {
-			t.Errorf("GossipReceived, GossipDropped = %d, %d, want 1, 2", n.GossipReceived, n.GossipDropped)
+		if counters := b.Counters(); counters.GossipReceived != 1 || counters.GossipDropped != 2 {
+			t.Errorf("GossipReceived, GossipDropped = %d, %d, want 1, 2",
+				counters.GossipReceived, counters.GossipDropped)
 		}
 	})
 }
--- a/policy/host.go
+++ b/policy/host.go
@@ -49,8 +49,8 @@
 	// HealthCheck requests a load report from an endpoint. The host passes the result to
 	// Balancer.HealthChecked.
 	HealthCheck(to EndpointID)
-	// WatchEndpoints subscribes to the endpoint list. The host passes updates to
-	// Balancer.UpdateEndpoints.
+	// WatchEndpoints polls the endpoint list by starting a watch of it. The host passes each update,
+	// and a failure as UpdateFailed, to Balancer.UpdateEndpoints.
 	WatchEndpoints()
 	// Broadcast sends a message to all other balancers. The message may be lost. The host passes
 	// messages of other balancers to Balancer.ReceiveGossip.
@@ -87,12 +87,12 @@
 // Counters count the actions of a Balancer since it was made.
 type Counters struct {
 	RoundRobinSends    uint64 // first attempts sent to the next endpoint in round-robin order
-	DivertedSends      uint64 // attempts diverted as an endpoint was at its limit or ejected
+	DivertedSends      uint64 // attempts not sent to the endpoint due first, which was ejected or at its limit
 	ConcurrencyLimited uint64 // dispatches refused by the concurrency limit although a slot was free
 	Shed               uint64 // requests rejected by admission
 	CrossZoneSends     uint64 // attempts sent to another zone, if CrossZoneCost is above 0
 	Retries            uint64 // attempts after a request's first
-	LateRejected       uint64 // rejected on arrival as the response would be late; mostly client retries
+	LateRejected       uint64 // rejected without queueing, as the response would be late; mostly client retries
 	Queued             uint64 // requests that had to wait for a slot or an endpoint
 	GossipSent         uint64 // gossip messages broadcast
 	GossipReceived     uint64 // gossip messages accepted
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -90,16 +90,16 @@
 	return s.changes == changesNeeded
 }
 
-// canReportLoad reports whether health checks are allowed and return the number
-// of requests in flight.
-func (b *Balancer) canReportLoad() bool {
+// endpointsReportLoad reports whether health checks are allowed and return the number of requests in
+// flight.
+func (b *Balancer) endpointsReportLoad() bool {
 	return b.cfg.CanHealthCheck && b.cfg.ReportFields&HasInFlight != 0
 }
 
 // sampleReports makes the sampler's next health check if it is due.
 func (b *Balancer) sampleReports(now time.Duration) {
 	s := &b.sampler
-	if s.done() || now < s.nextAt || len(b.subset.endpoints) == 0 || !b.canReportLoad() {
+	if s.done() || now < s.nextAt || len(b.subset.endpoints) == 0 || !b.endpointsReportLoad() {
 		return
 	}
 	if s.endpoint == nil || s.endpoint.State != Ready {
@@ -115,7 +115,7 @@
 // Among many balancers, the attempts that this one has in flight at an endpoint
 // show hardly anything about the endpoint's load.
 func (b *Balancer) awaitReport(now time.Duration, r *request) bool {
-	if !b.canReportLoad() || !b.sampler.fresh() || r.healthChecks >= maxHealthChecks {
+	if !b.endpointsReportLoad() || !b.sampler.fresh() || r.healthChecks >= maxHealthChecks {
 		return false
 	}
 	e, _ := b.nextAvailable(now, r, b.subset.endpoints)
@@ -154,11 +154,12 @@
 	}
 }
 
-// compareReports compares a load report of the sampled endpoint with the
-// previous one. An unusable report counts as unchanged.
+// compareReports compares a load report of the sampled endpoint with the previous one. An unusable
+// report counts as unchanged. A usable one is not compared if there is no previous report, or if
+// that is more recent than reportLifetime.
 func (b *Balancer) compareReports(now time.Duration, e *endpoint, usable bool, report LoadReport) {
-	hasPrevious := e.reportedAt > 0 && now-e.reportedAt >= reportLifetime
-	if usable && !hasPrevious {
+	hasOlderReport := e.reportedAt > 0 && now-e.reportedAt >= reportLifetime
+	if usable && !hasOlderReport {
 		return
 	}
 	if b.sampler.recordComparison(usable && report != e.report) {
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A request at the front of a queue that waits for its key must not block the requests behind it.
+// A request that waits for its key at the front of a queue must not block the requests behind it.
 func TestOneKeyDoesNotBlockOthers(t *testing.T) {
 	cfg := orderedConfig(0)
 	cfg.Tenants, cfg.Slots = nil, 10 // queue of 2
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -30,10 +30,10 @@
 // failing.
 func (e *endpoint) isOutlier() bool { return e.relativeLatency >= outlierLatency }
 
-// recordOutcome updates the observed health of an endpoint with the result of
-// an attempt. The relative latency lengthens the endpoint's stride, whatever the
-// cause: slowness, errors, silence, rejections, or a limit shared with others.
-// The requests that the endpoint still gets show when it has recovered.
+// recordOutcome updates the observed health of an endpoint with the result of an attempt. A high
+// relative latency lengthens the endpoint's stride, whatever the cause: slowness, errors, timeouts,
+// rejections, or a limit shared with others. The requests that the endpoint still gets show when it
+// has recovered.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, result Result) {
 	e, latency := a.endpoint, now-a.sentAt
 	// A timeout of an outlier shows a fault of that endpoint and no congestion.
@@ -75,9 +75,8 @@
 	b.meanLatency += (latency - b.meanLatency) / overallLatencySamples
 }
 
-// recordResponse records that an endpoint has responded. An outlier that was
-// unresponsive for a long time may have restarted even if the endpoint list does
-// not show it, so it gets a slow start.
+// recordResponse records a successful response of an endpoint. An outlier that was unresponsive for
+// a long time may have restarted even if the endpoint list does not show it, so it gets a slow start.
 func (b *Balancer) recordResponse(now time.Duration, e *endpoint) {
 	silence := now - e.unresponsiveSince
 	if e.unresponsiveSince > 0 && e.relativeLatency > outlierLatency && silence > minRestartSilence {
--- a/policy/picker.go
+++ b/policy/picker.go
@@ -52,10 +52,10 @@
 	return b.cfg.CrossZoneCost > 0 && e.Zone != b.cfg.Zone
 }
 
-// pick returns the endpoint to which a request is sent now, or nil. Requests go
-// to the subset. If no endpoint there is available, a retry of a request that
-// may have run is sent outside the subset, because duplicates may be dropped
-// only in the zone or cell of the first attempt.
+// pick returns the endpoint to which a request is sent now, or nil. Requests go to the subset. If no
+// endpoint there is available, a retry of a request that may have run is sent outside the subset:
+// duplicates may be dropped only in the zone or cell of the first attempt, and the subset may have
+// no other endpoint there.
 func (b *Balancer) pick(now time.Duration, r *request) *endpoint {
 	chosen, diverted := b.nextAvailable(now, r, b.subset.endpoints)
 	if chosen == nil && r.firstThatMayHaveRun() != nil {
--- a/policy/request.go
+++ b/policy/request.go
@@ -66,8 +66,8 @@
 // attempt is one attempt to serve a request.
 type attempt struct {
 	endpoint *endpoint
-	// Zone and cell of the endpoint when the attempt was sent. The list entry that removes an
-	// endpoint may lack both.
+	// Zone and cell of the endpoint when the attempt was sent. They are kept because the list entry
+	// that removes an endpoint may lack both.
 	zone   int
 	cell   int
 	sentAt time.Duration
@@ -82,10 +82,10 @@
 	key        uint64
 	firstTryAt time.Duration // start of the client's first try, as estimated
 	deadline   time.Duration // when the client gives up
-	// End of all attempts: the deadline or, if late responses have no value to the class, the end of
-	// the latency objective.
+	// When attempts time out: at the deadline or, if late responses have no value to the class, at
+	// the end of the latency objective, counted from the first try. See also dispatchLate.
 	attemptDeadline   time.Duration
-	objectiveDeadline time.Duration // a response by this time meets the latency objective
+	objectiveDeadline time.Duration // a response by this time counts as goodput: see admission
 	attempts          []attempt
 	inFlight          int
 	keyQueue          *keyQueue // nil: the request need not run in order with others
@@ -165,11 +165,13 @@
 	return r
 }
 
-// setAttemptDeadline ends attempts at the latency objective, counted from the client's first try,
-// if late responses have no value to the class. The start of the first try follows from the
-// timeout: a request with less time left than first tries usually have counts as a client retry,
-// whose first try is taken to have begun Class.Deadline before the request's deadline. Where
-// clients mark their retries, only marked requests count as such.
+// setAttemptDeadline makes attempts time out at the end of the latency objective, counted from the
+// client's first try. It changes nothing if late responses have a value to the class, or if the
+// objective depends on the expected work and that is unknown.
+//
+// A request with a shorter timeout than first tries usually have counts as a client retry, unless
+// clients mark their retries and this one is not marked. Clients wait for Class.Deadline in total,
+// so the first try of such a retry is assumed to have begun that long before the request's deadline.
 func (b *Balancer) setAttemptDeadline(now time.Duration, r *request, req Request) {
 	c := r.class
 	objectiveKnown := c.ObjectivePerWork == 0 || req.ExpectedWork > 0
@@ -185,8 +187,8 @@
 	r.attemptDeadline = min(r.deadline, r.firstTryAt+objective)
 }
 
-// maxTimeoutDecay is the number of requests over which class.maxTimeout falls by a factor of e
-// towards lower timeouts.
+// maxTimeoutDecay is the number of requests over which the difference between class.maxTimeout and
+// the lower timeouts of these requests falls by a factor of e.
 const maxTimeoutDecay = 64
 
 // attemptStarted counts an attempt as in flight for its request, endpoint, bulkhead and balancer.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// slowStartUtilization is the fraction of the request budget of an endpoint in
-	// slow start that balancers use. The rest is a margin for random peaks.
+	// slowStartUtilization is the fraction that balancers use of the request rate above which an
+	// endpoint in slow start fails. The rest is a margin for random peaks.
 	slowStartUtilization = 0.5
 
 	minCapacityFraction  = 0.05 // lowest fraction of its capacity that an endpoint is assumed to have
@@ -44,13 +44,12 @@
 	return now < e.slowStartUntil && now < e.nextSlowStartSend
 }
 
-// slowStartInterval returns the time between this balancer's sends to an
-// endpoint in slow start. It keeps all balancers together well within the
-// endpoint's capacity: each uses an equal share of it, whatever its traffic.
-// The endpoint is in the subsets of only some of the balancers, about the
-// subset's fraction of the total ready weight, so each of these may send more by
-// the inverse of that fraction. If quotas are unknown, the balancer's own request
-// rate, derived from its attempts in flight, replaces its share of the quotas.
+// slowStartInterval returns the time between this balancer's sends to an endpoint in slow start. It
+// keeps all balancers together well within the endpoint's capacity: each uses an equal share of it,
+// whatever its traffic. Only some balancers have the endpoint in their subsets; their fraction is
+// about the subset's fraction of the total ready weight. Each of them may send more by the inverse
+// of that fraction. If quotas are unknown, the balancer's own request rate, derived from its
+// attempts in flight, replaces its share of the quotas.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint) time.Duration {
 	demand := float64(max(b.inFlight, minInFlightForDemand)) / b.meanLatency.Seconds()
 	rate := b.endpoints.proportion(cmp.Or(b.cfg.equalShare(b.quota), demand), e)
--- a/policy/slowstartservice_test.go
+++ b/policy/slowstartservice_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	serviceTime        = 30 * ms          // latency of a request at any endpoint of a coldService
+	serviceTime        = 30 * ms          // latency of a request at any endpoint of a slowStartService
 	serviceStep        = 5 * ms           // time step of the simulation
 	serviceRequestRate = 75               // per second
 	serviceWindow      = 10 * time.Second // over which the served requests are counted
@@ -17,8 +17,8 @@
 	serviceStartsAt    = 1000 * time.Second
 )
 
-// coldService simulates a single balancer and its endpoints, most or all of which have just started.
-type coldService struct {
+// slowStartService simulates a single balancer and its endpoints, most or all of which have just started.
+type slowStartService struct {
 	t              *testing.T
 	balancer       *Balancer
 	host           *fakeHost
@@ -30,8 +30,8 @@
 	servedAt       []time.Duration
 }
 
-// coldServiceConfig returns the configuration of a single balancer whose endpoints have a long slow start.
-func coldServiceConfig() Config {
+// slowStartServiceConfig returns the configuration of a single balancer whose endpoints have a long slow start.
+func slowStartServiceConfig() Config {
 	return Config{
 		Balancers:         1,
 		Classes:           []Class{{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
@@ -46,7 +46,7 @@
 	}
 }
 
-func newColdService(t *testing.T, cfg Config) *coldService {
+func newSlowStartService(t *testing.T, cfg Config) *slowStartService {
 	t.Helper()
 	h := newFakeHost()
 	b, err := New(cfg, 1, h)
@@ -54,12 +54,12 @@
 		t.Fatal(err)
 	}
 	b.Start(serviceStartsAt)
-	return &coldService{t: t, balancer: b, host: h, now: serviceStartsAt}
+	return &slowStartService{t: t, balancer: b, host: h, now: serviceStartsAt}
 }
 
 // update passes an update with six endpoints in the given state. The first established ones started long ago, the others
 // start now.
-func (s *coldService) update(kind UpdateKind, state EndpointState, established int) {
+func (s *slowStartService) update(kind UpdateKind, state EndpointState, established int) {
 	list := ready(1, 2, 3, 4, 5, 6)
 	for i := range list {
 		list[i].State = state
@@ -71,7 +71,7 @@
 }
 
 // run passes requests and outcomes for a duration, and returns the number of requests served in it.
-func (s *coldService) run(d time.Duration) int {
+func (s *slowStartService) run(d time.Duration) int {
 	before := len(s.served)
 	for end := s.now + d; s.now < end; s.now += serviceStep {
 		s.passOutcomes()
@@ -89,7 +89,7 @@
 }
 
 // passOutcomes passes the outcomes that are due. Each request has only one attempt, as all attempts succeed.
-func (s *coldService) passOutcomes() {
+func (s *slowStartService) passOutcomes() {
 	for len(s.outcomes) > 0 && s.outcomes[0].at <= s.now {
 		o := s.outcomes[0]
 		s.outcomes = s.outcomes[1:]
@@ -103,40 +103,40 @@
 // When all endpoints of a service started at once, they got almost no requests: the time of the first send to each was
 // drawn with the ready weight from before the list, which was 0, and so was up to 100 s ahead. Whatever updates come
 // first, the endpoints must get the requests that slow start allows.
-func TestServiceThatStartsAtOnceIsServed(t *testing.T) {
-	for name, prepare := range map[string]func(s *coldService){
-		"first list": func(s *coldService) { s.update(FullUpdate, Ready, 0) },
-		"cached list, then the same list": func(s *coldService) {
+func TestServiceServesWhenAllEndpointsStartAtOnce(t *testing.T) {
+	for name, prepare := range map[string]func(s *slowStartService){
+		"first list": func(s *slowStartService) { s.update(FullUpdate, Ready, 0) },
+		"cached list, then the same list": func(s *slowStartService) {
 			s.update(CachedUpdate, Ready, 0)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"empty cached list, then all endpoints": func(s *coldService) {
+		"empty cached list, then all endpoints": func(s *slowStartService) {
 			s.balancer.UpdateEndpoints(s.now, CachedUpdate, nil)
 			s.run(time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"all removed, then restarted": func(s *coldService) {
+		"all removed, then restarted": func(s *slowStartService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			s.update(DeltaUpdate, Removed, 6)
 			s.run(2 * time.Second)
 			s.update(DeltaUpdate, Ready, 0)
 		},
-		"all draining, then restarted": func(s *coldService) {
+		"all draining, then restarted": func(s *slowStartService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			s.update(DeltaUpdate, Draining, 6)
 			s.run(2 * time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"empty full update, then all endpoints": func(s *coldService) {
+		"empty full update, then all endpoints": func(s *slowStartService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			s.balancer.UpdateEndpoints(s.now, FullUpdate, nil)
 			s.run(2 * time.Second)
 			s.update(FullUpdate, Ready, 0)
 		},
-		"half of them removed, then restarted": func(s *coldService) {
+		"half of them removed, then restarted": func(s *slowStartService) {
 			s.update(FullUpdate, Ready, 6)
 			s.run(2 * time.Second)
 			list := ready(1, 2, 3)
@@ -146,7 +146,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newColdService(t, coldServiceConfig())
+			s := newSlowStartService(t, slowStartServiceConfig())
 			prepare(s)
 			n := s.run(serviceWindow)
 			t.Logf("%d requests served", n)
@@ -195,16 +195,16 @@
 
 // All endpoints of a balancer's subset had just started. The only established endpoint was outside of the subset and got
 // no requests until the traffic had been measured and the subset selected again. It must get requests from the beginning.
-func TestWarmEndpointServesBesideThoseInSlowStart(t *testing.T) {
+func TestEstablishedEndpointServesBesideThoseInSlowStart(t *testing.T) {
 	for balancer := range 6 {
 		for name, tenants := range map[string][]Tenant{
 			"known quota":   {{Weight: 1, Quota: 20}},
 			"unknown quota": nil,
 		} {
 			t.Run(fmt.Sprintf("balancer=%d/%s", balancer, name), func(t *testing.T) {
-				cfg := coldServiceConfig()
+				cfg := slowStartServiceConfig()
 				cfg.Tenants, cfg.Balancers, cfg.Index = tenants, 6, balancer
-				s := newColdService(t, cfg)
+				s := newSlowStartService(t, cfg)
 				s.update(FullUpdate, Ready, 1)
 				const period, sequential = 300 * ms, int(300 * ms / serviceTime)
 				if n := s.run(period); n < sequential/2 {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// pickInterval is how often each endpoint of the subset is to be picked.
+	// pickInterval is the intended time between two picks of each endpoint in the subset.
 	pickInterval = 1 * time.Second
 
 	minSubsetSize = 4.0 // endpoints
@@ -21,12 +21,11 @@
 	maxSlowStartExtension = 2
 )
 
-// subset is the part of the endpoint list to which this balancer sends first
-// attempts. If each of a thousand balancers with little traffic used all
-// endpoints, it would hold connections to all of them and get too few responses
-// from each to judge its health. So each balancer uses a range of the list that
-// is small enough for its own traffic to measure. The ranges start at evenly
-// spread positions, by the balancers' indexes.
+// subset is the part of the endpoint list to which this balancer sends first attempts. If each of a
+// thousand balancers with little traffic used all endpoints, it would hold connections to all of
+// them and get too few responses from each to judge its health. So each balancer uses a range of the
+// list that is so small that its own traffic shows the health of each endpoint. The ranges start at
+// evenly spread positions, by the balancers' indexes.
 type subset struct {
 	endpoints    []*endpoint
 	weight       float64 // total weight of the endpoints
@@ -56,7 +55,7 @@
 	_, start := math.Modf(float64(b.cfg.Index) * math.Phi)
 	first := int(start * float64(len(ready)))
 	s.weight, s.endpoints = 0, nil
-	hasEstablished := false // an endpoint that is not in slow start
+	hasEstablished := false // the subset has an endpoint that is not in slow start
 	for i := range ready {
 		e := ready[(first+i)%len(ready)]
 		size := s.size
--- a/policy/watch.go
+++ b/policy/watch.go
@@ -22,15 +22,14 @@
 	// doubles with each further failure, up to maxBackoff.
 	initialBackoff = 250 * time.Millisecond
 
-	// maxBackoff is short because a change counts as notified 6 s after discovery
-	// can be reached again, and most of that time has to be left for its response.
+	// maxBackoff is short because the balancer counts as notified of a change 6 s after discovery can
+	// be reached again, and most of that time has to be left for discovery's response.
 	maxBackoff = 1 * time.Second
 
 	maxBackoffDoublings = 16 // keeps the doubled backoff from overflowing
 
-	// defaultPollInterval is the time to the next poll if no update comes and
-	// Config.PollInterval is unknown. If it is known, the next poll comes well
-	// before the end of that interval.
+	// defaultPollInterval is the time to the next poll if no update comes and Config.PollInterval is
+	// unknown. If Config.PollInterval is known, the next poll comes well before it has passed.
 	defaultPollInterval = 4 * maxBackoff
 )
 
@@ -115,7 +114,7 @@
 	return e, newStart
 }
 
-// poll subscribes to the endpoint list, and schedules another poll in case no
+// poll polls the endpoint list by starting a watch of it, and schedules another poll in case no
 // update comes.
 func (b *Balancer) poll(now time.Duration) {
 	b.watch.polledAt = now
@@ -126,7 +125,7 @@
 // backoff returns the backoff after a number of failures. It has jitter, so that
 // balancers do not poll at the same time.
 func (b *Balancer) backoff(failures int) time.Duration {
-	pause := initialBackoff << min(failures, maxBackoffDoublings)
-	pause = min(pause, maxBackoff, cmp.Or(b.cfg.PollInterval, maxBackoff))
-	return time.Duration(float64(pause) * (0.5 + b.rng.Float64()))
+	mean := initialBackoff << min(failures, maxBackoffDoublings)
+	mean = min(mean, maxBackoff, cmp.Or(b.cfg.PollInterval, maxBackoff))
+	return time.Duration(float64(mean) * (0.5 + b.rng.Float64()))
 }
--- a/policy/watch_test.go
+++ b/policy/watch_test.go
@@ -9,7 +9,7 @@
 // While discovery cannot be reached, a balancer has to poll it repeatedly, with a growing backoff, but often
 // enough that a change is noticed in time once discovery can be reached again. Meanwhile the balancer uses
 // the list that it has.
-func TestPollsUntilNotified(t *testing.T) {
+func TestPollsUntilUpdate(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollsEndpoints = true
 	b, h := start(t, cfg, ready(1))
