--- a/policy/bulkhead.go
+++ b/policy/bulkhead.go
@@ -48,8 +48,8 @@
 // full reports whether all slots are in use.
 func (h *bulkhead) full() bool { return h.slotsInUse >= h.slots }
 
-// evictionCandidate returns the request that has to be rejected before r can be queued: nil if the
-// queue has capacity, the last queued request if r has a higher priority, and otherwise r itself.
+// evictionCandidate returns the request that has to be rejected or failed before r can be queued: nil
+// if the queue has capacity, the last queued request if r has a higher priority, and otherwise r.
 func (h *bulkhead) evictionCandidate(r *request) *request {
 	if len(h.queue) < h.queueCapacity {
 		return nil
@@ -115,8 +115,9 @@
 }
 
 // sizeBulkheads sets the slots of all bulkheads. By Little's law, a request rate keeps rate x
-// latency attempts in flight. As traffic is not spread evenly over the n balancers, each one is
-// sized for the expected largest of n random parts of the traffic.
+// latency attempts in flight. fleetInFlight is this number over all balancers while traffic is at the
+// quotas. As traffic is not spread evenly over the n balancers, each one is sized for the expected
+// largest of n random parts of the traffic.
 func (b *Balancer) sizeBulkheads() {
 	n := float64(b.cfg.Balancers)
 	b.fleetInFlight = b.quota * float64(b.objective) * slotObjectiveFraction
@@ -131,8 +132,8 @@
 	b.bulkheads.resize(b.cfg.tenants(), total, deviations)
 }
 
-// enqueue queues a request in its bulkhead. If the queue is full, the request of the lowest
-// priority is rejected at once.
+// enqueue queues a request in its bulkhead. If the queue is full, the request that evictionCandidate
+// returns is rejected at once, or failed if it is a retry that its client may not repeat.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	if evicted := r.bulkhead.evictionCandidate(r); evicted != nil {
 		b.rejectOrFail(now, evicted) // also removes it from the queue
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -107,8 +107,9 @@
 	return min(1, threshold/max(meanSquare*max(1, excess), minCongestion))
 }
 
-// congested reports whether the congestion of all endpoints is high enough to
-// reduce limits.
+// congested reports whether the congestion of all endpoints is so high that it
+// would reduce the limit of a single endpoint. The limit over all attempts is
+// reduced only under more congestion: see concurrencyLimitTolerance.
 func (b *Balancer) congested(now time.Duration) bool {
 	return b.limitFraction(b.gossip.congestion(now, b.congestion.meanSquare)) < 1
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -37,8 +37,9 @@
 }
 
 // endpoint is what a Balancer knows about one endpoint. A restart of the
-// endpoint resets everything except the attempts in flight, because earlier
-// observations no longer apply. Its health is judged in outlier.go.
+// endpoint resets everything except the attempts in flight and a later end of the
+// slow start, because earlier observations no longer apply. Its health is judged
+// in outlier.go.
 type endpoint struct {
 	Endpoint
 	inFlight int // attempts of this balancer at the endpoint
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -130,7 +130,8 @@
 
 // HealthChecked processes the result of a health check. If the health check
 // failed (ok is false), or report lacks the number of requests in flight, the
-// load report counts as missing.
+// load report is unusable. Once load reports have proved fresh, the endpoint then
+// counts as full.
 func (b *Balancer) HealthChecked(now time.Duration, id EndpointID, ok bool, report LoadReport) {
 	e := b.endpoints.find(id)
 	if e == nil {
--- a/policy/request.go
+++ b/policy/request.go
@@ -233,7 +233,7 @@
 }
 
 // closeRequest closes a request that has been answered or whose client has disconnected: it removes
-// the request from its queue and cancels its attempts in flight.
+// the request from its queue and, if Config.CanCancel is set, cancels its attempts in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.closed = true
 	r.bulkhead.removeQueued(r)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -11,7 +11,7 @@
 	slowStartUtilization = 0.5
 
 	minCapacityFraction  = 0.05 // lowest fraction of its capacity that an endpoint is assumed to have
-	minSlowStartRate     = 0.01 // requests per second that each balancer may send at least
+	minSlowStartRate     = 0.01 // requests per second that each balancer may send an endpoint at least
 	minOverloadFactor    = 1.0  // lowest Config.OverloadFactor that is used
 	minInFlightForDemand = 1    // lowest number of attempts in flight from which the request rate is derived
 )
@@ -45,11 +45,11 @@
 }
 
 // slowStartInterval returns the time between this balancer's sends to an endpoint in slow start. It
-// keeps all balancers together well within the endpoint's capacity: each uses an equal share of it,
-// whatever its traffic. Only some balancers have the endpoint in their subsets; their fraction is
-// about the subset's fraction of the total ready weight. Each of them may send more by the inverse
-// of that fraction. If quotas are unknown, the balancer's own request rate, derived from its
-// attempts in flight, replaces its share of the quotas.
+// keeps all balancers together well below the request rate above which the endpoint fails: each uses
+// an equal share of that rate, whatever its traffic. Only some balancers have the endpoint in their
+// subsets; their fraction is about the subset's fraction of the total ready weight. Each of them may
+// send more by the inverse of that fraction. If quotas are unknown, the balancer's own request rate,
+// derived from its attempts in flight, replaces its share of the quotas.
 func (b *Balancer) slowStartInterval(now time.Duration, e *endpoint) time.Duration {
 	demand := float64(max(b.inFlight, minInFlightForDemand)) / b.meanLatency.Seconds()
 	rate := b.endpoints.proportion(cmp.Or(b.cfg.equalShare(b.quota), demand), e)
