--- a/internal/sidecar/acceptor.go
+++ b/internal/sidecar/acceptor.go
@@ -22,8 +22,9 @@
 // wait. Below the limit it closes no connection, because a close may coincide with a request that the client
 // is sending.
 //
-// net/http's Serve calls Accept in a single goroutine; the other methods are called from the goroutines of
-// connections.
+// net/http's Serve calls Accept in a single goroutine, and only Accept calls waitForCapacity, makeCapacity
+// and add. The other methods are also called from the goroutines of connections, of their close timers and of
+// the shutdown.
 type acceptor struct {
 	net.Listener
 	maxConns   int
--- a/internal/sidecar/config_file.go
+++ b/internal/sidecar/config_file.go
@@ -21,8 +21,9 @@
 var errMissing = errors.New("missing")
 
 // configFile is the configuration file, a JSON object. The platform that starts the sidecar determines its
-// field names and the environment variables that replace missing fields. Errors use the same names. Fields
-// that are not listed here are ignored.
+// field names and the environment variables that replace missing fields. Errors use the same names. Only the
+// apply methods of Config map them to the names of Config, which the rest of the sidecar uses; applySettings
+// leaves the names in Settings to package settings. Fields that are not listed here are ignored.
 type configFile struct {
 	// Name is the name of this sidecar, for the log. Default: EDGE_NAME.
 	Name string `json:"name"`
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -88,7 +88,7 @@
 	mu              sync.Mutex // guards the fields below
 	address         string
 	addressChanged  bool               // reload has changed address since the last call of startFollowing
-	cancelFollow    context.CancelFunc // cancels the calls that follow the list; nil until run has started
+	cancelFollow    context.CancelFunc // cancels the calls of follow; nil until startFollowing is called
 	idleConn        net.Conn           // connection for the next call, or nil
 	idleConnAddress string             // address that idleConn is connected to
 }
--- a/internal/sidecar/discovery_call.go
+++ b/internal/sidecar/discovery_call.go
@@ -16,8 +16,8 @@
 
 func (e *statusError) Error() string { return "discovery responded with status " + e.status }
 
-// call makes one call, on the idle connection of an earlier call or on a new one. If ctx is cancelled it
-// closes the connection, which aborts the call.
+// call makes one call, on the idle connection of an earlier call or on a new one. If ctx is cancelled or
+// times out, it closes the connection, which aborts the call.
 //
 // It does not use net/http's client, because that client retries a call when an idle connection breaks. The
 // retry of a watch that was reset would go unnoticed, and a change in between would be read only after that
--- a/internal/sidecar/gossip.go
+++ b/internal/sidecar/gossip.go
@@ -28,7 +28,7 @@
 	lost          atomic.Int64 // datagrams not sent: outgoing was full, or the socket returned an error
 	received      atomic.Int64 // datagrams passed to the handler of run
 	unknownSender atomic.Int64 // datagrams dropped because their source address is not a peer's
-	malformed     atomic.Int64 // datagrams from peers, dropped because gossip.Decode returned an error
+	malformed     atomic.Int64 // datagrams from peers, dropped by gossip.Decode: invalid or of another version
 }
 
 // newGossipTransport opens the UDP socket for gossip. It returns nil if the configuration does not allow
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -95,7 +95,7 @@
 // SetTimer schedules a call of the Balancer's TimerFired after d.
 func (l *eventLoop) SetTimer(d time.Duration) { l.addTimer(l.now + max(d, 0)) }
 
-// HealthCheck requests a server's load report and passes the result to the Balancer.
+// HealthCheck requests a server's health or load report and passes the result to the Balancer.
 func (l *eventLoop) HealthCheck(to policy.EndpointID) {
 	checked := func(ok bool, load policy.LoadReport) {
 		l.post(func(now time.Duration) { l.balancer.HealthChecked(now, to, ok, load) })
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -11,8 +11,9 @@
 
 const (
 	// Clients run on the same machine and send each request in one go. The two read timeouts leave enough time
-	// for a client that is short of CPU. A client that connects and stalls, whether in the head or in the body
-	// of its first request, is disconnected within 3 s.
+	// for a client that is short of CPU. A client that connects and sends nothing, or at once sends only part
+	// of its first request, is disconnected within 3 s of connecting, whether it stalls in the head or in the
+	// body.
 
 	// readHeadTimeout limits reading a request's head. It also limits the wait for the first byte on a new
 	// connection.
--- a/internal/sidecar/readresponse.go
+++ b/internal/sidecar/readresponse.go
@@ -7,9 +7,12 @@
 )
 
 const (
-	maxBodyBytes        = 64 << 10  // limit on the body of a request or a response
-	maxResponseBytes    = 512 << 10 // limit on a whole response on the wire, with headers and framing
-	maxInterimResponses = 8         // limit on the 1xx responses that are skipped before the final one
+	maxBodyBytes     = 64 << 10  // limit on the body of a request or a response
+	maxResponseBytes = 512 << 10 // limit on a whole response on the wire, with headers and framing
+
+	// maxInterimResponses limits the 1xx responses before the final one: readResponse accepts fewer than this,
+	// readFinalResponse up to this many.
+	maxInterimResponses = 8
 )
 
 // serverResponse is a complete response of a server, with its body read.
--- a/internal/sidecar/requestboundary_test.go
+++ b/internal/sidecar/requestboundary_test.go
@@ -10,7 +10,7 @@
 	const head, bare = "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "GET / HTTP/1.1\nHost: x\n\n"
 	for name, c := range map[string]struct {
 		text string
-		body int64 // length after the first head
+		body int64 // length of the body after the first head
 		want []string
 	}{
 		"one request":                         {head, 0, []string{head}},
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -25,7 +25,7 @@
 	cfg       *Config
 	loop      *eventLoop
 	discovery *discoveryClient
-	gossip    *gossipTransport // nil if this sidecar has no peers
+	gossip    *gossipTransport // nil: no peers or no gossip socket
 	ingress   *ingress
 }
 
