--- a/internal/endpointlist/errors.go
+++ b/internal/endpointlist/errors.go
@@ -20,7 +20,7 @@
 type Error struct {
 	Entry      int    // index of the endpoint in the response, or NoEntry
 	InstanceID string // instance ID of the endpoint; "" if it is missing
-	Field      string // JSON name of the field; "" if the response could not be decoded as JSON
+	Field      string // JSON name of the field; "" if the response is not JSON with fields of the right types
 	Err        error
 }
 
--- a/internal/fleetsim/endpoint_client.go
+++ b/internal/fleetsim/endpoint_client.go
@@ -8,7 +8,8 @@
 	"cranehatch/policy"
 )
 
-// Times of discovery calls, the same as in the real sidecar's discovery client.
+// Times of discovery calls, the same as in the real sidecar's discovery client, except that the real client
+// hedges polls of a pushed list at shorter intervals if the drain grace is below 4 s.
 const (
 	// maxWatchTime is the maximum time for which a watch is kept open.
 	maxWatchTime = 20 * time.Second
--- a/internal/fleetsim/invariants.go
+++ b/internal/fleetsim/invariants.go
@@ -20,7 +20,7 @@
 	AtMostOnce
 
 	// NoSendWhileDraining requires that a sidecar sends nothing to a server more than 1 s after it was
-	// notified that the server is draining.
+	// notified that the server is draining or removed.
 	NoSendWhileDraining
 
 	// SlowStartBudget requires that a server in slow start receives no more requests in a window than its
--- a/internal/fleetsim/scale_sizes_test.go
+++ b/internal/fleetsim/scale_sizes_test.go
@@ -12,7 +12,7 @@
 	steadyWarmUp   = 2 * time.Second  // not counted
 	steadyDuration = 5 * time.Second  // measured with requests and gossip
 	idleWarmUp     = 15 * time.Second // not counted
-	idleDuration   = 45 * time.Second // measured without requests and gossip; as long as three watches
+	idleDuration   = 45 * time.Second // measured without requests and gossip; three watches of mean length
 )
 
 // printSizeTable prints what fleets without faults cost, by their size.
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -28,8 +28,8 @@
 
 // ParseJSON parses nested JSON. The length of a list is stored as PATH.count. Items that are objects are
 // stored under PATH.0, PATH.1 and so on. Other items are joined by commas and stored as PATH; a comma within
-// an item becomes "_". A null is treated as absent. ParseJSON returns a *JSONError if the text does not start
-// with a JSON object.
+// an item becomes "_". A null is treated as absent, except as an item of a list, where it becomes the text
+// "<nil>". ParseJSON returns a *JSONError if the text does not start with a JSON object or null.
 func ParseJSON(text []byte) (*Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber() // keeps the text of numbers, as in the path=value form
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,8 +26,8 @@
 )
 
 // Settings holds the start-up settings of an instance. If a value cannot be converted, its accessor returns a
-// zero value and Settings keeps the first such error for Err. A caller can therefore read many values and
-// check for an error once.
+// value that must not be used (0, or an extreme value for a number out of range) and Settings keeps the first
+// such error for Err. A caller can therefore read many values and check for an error once.
 type Settings struct {
 	values map[string]string // text by path
 	err    error             // a *ValueError for the first value that could not be converted, or nil
--- a/internal/sidecarbench/bench.go
+++ b/internal/sidecarbench/bench.go
@@ -2,10 +2,11 @@
 // it adds to a request, and the memory, CPU time and traffic that it uses without requests, each for fleets
 // of different sizes.
 //
-// The sidecar runs as it is deployed, between stand-ins for servers that respond at once, discovery, the
-// other sidecars and the application (a load generator). Each stand-in is a process of its own, so that its
-// CPU time is measured separately. A program that uses this package serves as the stand-in program too: if
-// RoleVariable is set, it must call RunStandIn. All addresses are in 127.0.0.0/8.
+// The sidecar runs as it is deployed, between stand-ins for servers that respond at once (or after a service
+// time, for a CPUBreakdown), discovery, the other sidecars and the application (a load generator). Each
+// stand-in is a process of its own, so that its CPU time is measured separately. A program that uses this
+// package serves as the stand-in program too: if RoleVariable is set, it must call RunStandIn. All addresses
+// are in 127.0.0.0/8.
 //
 // Measurements to be compared (direct and proxied, silent and with gossip) alternate in short blocks, so that
 // other load on the machine affects both alike. The reported value is the mean of the differences within such
--- a/internal/sidecarbench/process_usage_test.go
+++ b/internal/sidecarbench/process_usage_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a wrong reading of the CPU-time clock of another process: the CPU time must grow while the
-// process works and agree with rusage, and reading it after the end of the process must fail.
+// process works and must not exceed the final rusage, and reading it after the end of the process must fail.
 func TestProcessUsage(t *testing.T) {
 	cmd, stdin, stdout := startBusyProcess(t)
 	before, err := cpuTime(cmd.Process.Pid)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -61,7 +61,7 @@
 }
 
 // checkProcess checks that the process is ready in time, does not exit before SIGTERM, exits with status 0
-// after it, and stays within its limits of descriptors and memory.
+// after it unless it got SIGKILL, and stays within its limits of descriptors and memory.
 func (c *checker) checkProcess() {
 	j := c.journal
 	if took := j.readyAt.Sub(j.startedAt); took > maxReadyDelay+c.tolerance {
@@ -225,7 +225,7 @@
 }
 
 // checkSlowStarts checks that the sidecar does not overload a server in slow start once it was notified of the
-// start. It takes an equal share of the quota as the full capacity of each server.
+// start. The check takes an equal share of the quota as the full capacity of each server.
 func (c *checker) checkSlowStarts() {
 	if !c.plan.SlowStart {
 		return
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -240,7 +240,7 @@
 
 // respond answers with the full list, or waits for a change and answers with the servers that changed.
 func (d *discovery) respond(w http.ResponseWriter, r *http.Request, interrupted <-chan struct{}) {
-	known := -1 // number of changes that the caller already has; negative: request for the full list
+	known := -1 // number of changes that the caller already has; negative: the response is the full list
 	if index, err := strconv.Atoi(r.FormValue("index")); err == nil && index >= d.baseVersion {
 		known = index - d.baseVersion
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -26,8 +26,8 @@
 // EventKind identifies what an Event does.
 type EventKind int
 
-// The kinds of events. "For a time" means for the Event's Duration. A server that becomes ready again has a
-// new start time.
+// The kinds of events. "For a time" means for the Event's Duration, and for ServerDraining and ServerRemoved
+// for the drain grace in addition. A server that becomes ready again has a new start time.
 const (
 	ServerFault            EventKind = iota // a server answers in the Event's Mode for a time
 	ServerDraining                          // a server is listed as draining for a time, then returns
@@ -78,7 +78,8 @@
 	return text
 }
 
-// Plan holds the parameters and the events of a run, all drawn from its seed.
+// Plan holds the parameters and the events of a run. NewPlan draws all of them from the seed, except for
+// SuspendAfterTerminate.
 type Plan struct {
 	Seed           uint64
 	Pushed         bool          // the sidecar watches the endpoint list; otherwise it polls the list
@@ -93,7 +94,8 @@
 	TerminateAt    time.Duration // when SIGTERM is sent, counted from the moment the sidecar is ready
 	TerminateTwice bool          // SIGTERM is sent twice, with a SIGHUP before each
 	AllServersHang bool          // all servers hang from shortly before SIGTERM on
-	// How long the process is suspended right after SIGTERM. SIGKILL is delayed by the same time.
+	// How long the process is suspended right after SIGTERM; 0 in plans of NewPlan. SIGKILL is delayed by the
+	// same time.
 	SuspendAfterTerminate time.Duration
 	Events                []Event
 }
