--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -72,7 +72,7 @@
 	query    string // expected query of the call
 	response string // body of the response; if empty, the status is 503
 	version  int64  // expected version of the update; 0 if the client should report a failure
-	complete bool   // whether the update should be a full list
+	full     bool   // whether the update should be a full list
 }
 
 // runDiscoverySteps runs a client against a discovery stand-in that responds as the steps say, and checks
@@ -103,8 +103,8 @@
 			wait(t, "the failure", c.failures)
 			continue
 		}
-		if update := wait(t, "an update", c.updates); update.Version != step.version || update.Full != step.complete {
-			t.Fatalf("call %d: version, complete = %d, %v, want %d, %v", n, update.Version, update.Full, step.version, step.complete)
+		if update := wait(t, "an update", c.updates); update.Version != step.version || update.Full != step.full {
+			t.Fatalf("call %d: version, full = %d, %v, want %d, %v", n, update.Version, update.Full, step.version, step.full)
 		}
 	}
 	c.expectNoMoreEvents(t)
@@ -127,11 +127,11 @@
 // a call that fails before any list is known, it must request the full list again.
 func TestDiscoveryClientFollowsList(t *testing.T) {
 	runDiscoverySteps(t, fullListResponse(0, "ready"), []discoveryStep{
-		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
+		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, full: true},
 		{query: "index=41&wait=20000", response: deltaResponse(43), version: 43},
 		{query: "index=43&wait=20000", response: `{"generation":44,"instances":[{"instanceId":""}]}`},
 		{query: "", response: ""},
-		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:80"), version: 45, complete: true},
+		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:80"), version: 45, full: true},
 	})
 }
 
@@ -140,12 +140,12 @@
 // the full list.
 func TestResponseWithoutListIsAFailure(t *testing.T) {
 	runDiscoverySteps(t, fullListResponse(0, "ready"), []discoveryStep{
-		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, complete: true},
+		{query: "", response: fullListResponse(41, "ready", "127.0.0.1:80"), version: 41, full: true},
 		{query: "index=41&wait=20000", response: `{"generation":42,"reset":true}`},
 		{query: "", response: `{"generation":42,"reset":true,"instances":null}`},
-		{query: "", response: fullListResponse(43, "ready", "127.0.0.1:80"), version: 43, complete: true},
+		{query: "", response: fullListResponse(43, "ready", "127.0.0.1:80"), version: 43, full: true},
 		{query: "index=43&wait=20000", response: `{"generation":44,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:80"}]}`},
-		{query: "", response: `{"generation":45,"reset":true,"instances":[]}`, version: 45, complete: true},
+		{query: "", response: `{"generation":45,"reset":true,"instances":[]}`, version: 45, full: true},
 	})
 }
 
@@ -156,12 +156,12 @@
 	runDiscoverySteps(t, fullListResponse(41, "ready", "127.0.0.1:80"), []discoveryStep{
 		{query: "index=41&wait=1", response: ""},
 		{query: "index=41&wait=1", response: deltaResponse(43), version: 43},
-		{query: "index=43&wait=20000", response: fullListResponse(44, "ready", "127.0.0.1:81"), version: 44, complete: true},
+		{query: "index=43&wait=20000", response: fullListResponse(44, "ready", "127.0.0.1:81"), version: 44, full: true},
 		{query: "index=44&wait=20000", response: "noise"},
-		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:82"), version: 45, complete: true},
+		{query: "", response: fullListResponse(45, "ready", "127.0.0.1:82"), version: 45, full: true},
 		{query: "index=45&wait=20000", response: ""},
 		{query: "index=45&wait=1", response: deltaResponse(3)},
-		{query: "", response: fullListResponse(3, "ready", "127.0.0.1:82"), version: 3, complete: true},
+		{query: "", response: fullListResponse(3, "ready", "127.0.0.1:82"), version: 3, full: true},
 	})
 }
 
@@ -344,7 +344,7 @@
 	expectCall("3 index=3&wait=20000")
 	for _, version := range []int64{50, 3} {
 		if update := wait(t, "an update", c.updates); !update.Full || update.Version != version {
-			t.Errorf("version, complete = %d, %v, want %d, true", update.Version, update.Full, version)
+			t.Errorf("version, full = %d, %v, want %d, true", update.Version, update.Full, version)
 		}
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -102,8 +102,8 @@
 	return ready
 }
 
-// markAllRemoved marks every endpoint as removed. It is called before a complete
-// list is applied, so that endpoints absent from the list remain removed.
+// markAllRemoved marks every endpoint as removed. It is called before a full list
+// is applied, so that endpoints absent from the list remain removed.
 func (s *endpointSet) markAllRemoved() {
 	for _, e := range s.all {
 		e.State = Removed
